--- a/internal/gateway/accept_test.go
+++ b/internal/gateway/accept_test.go
@@ -55,7 +55,7 @@
 	listener := &failingListener{TCPListener: tcp}
 	cfg := testConfig(t, "127.0.0.1:1")
 	cfg.Known = cachedList(okServer(t).Address())
-	testkit.SlowSettings(&cfg.Settings)
+	testkit.ExtendDeadlines(&cfg.Settings)
 	return runGateway(t, cfg, listener, opts), listener
 }
 
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -215,7 +215,7 @@
 }
 
 // slow gives requests more time than any test waits.
-func slow(cfg *config.Config, _ *options) { testkit.SlowSettings(&cfg.Settings) }
+func slow(cfg *config.Config, _ *options) { testkit.ExtendDeadlines(&cfg.Settings) }
 
 // slowRequest is a request of the class as text, with more time than any test waits: the class lookup takes a GET and
 // the others a POST with a body of one byte.
--- a/internal/testkit/settings.go
+++ b/internal/testkit/settings.go
@@ -28,8 +28,8 @@
 	return s
 }
 
-// SlowSettings gives the requests of all classes more time than any test waits.
-func SlowSettings(s *settings.Settings) {
+// ExtendDeadlines gives the requests of all classes more time than any test waits.
+func ExtendDeadlines(s *settings.Settings) {
 	const longMS = 120_000
 	for i := range s.Classes {
 		s.Classes[i].AimMs, s.Classes[i].HardLimitMs = longMS, longMS
