--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -86,11 +86,11 @@
 	return nil
 }
 
-// Follow reloads the configuration at each signal until ctx ends, and passes each one that can be used to apply, with
+// ReloadOnSignal reloads the configuration at each signal until ctx ends, and passes each one that can be used to apply, with
 // the time of the signal that asked for it. It reads a file that cannot be used again for a short time. Each file is
 // compared with the current configuration of the start, since only the address of discovery is taken over from a new
 // one.
-func Follow(ctx context.Context, current *Config, signals <-chan os.Signal, apply func(*Config, time.Time)) {
+func ReloadOnSignal(ctx context.Context, current *Config, signals <-chan os.Signal, apply func(*Config, time.Time)) {
 	var reread <-chan time.Time // nil: no reread is due
 	var askedAt time.Time       // when the first signal came that has not been served; zero: all have been
 	rereads := 0
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -56,10 +56,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	signals, applied, ended := make(chan os.Signal), make(chan *Config, 1), make(chan struct{})
 	go func() {
-		Follow(ctx, current, signals, func(fresh *Config, _ time.Time) { applied <- fresh })
+		ReloadOnSignal(ctx, current, signals, func(fresh *Config, _ time.Time) { applied <- fresh })
 		close(ended)
 	}()
-	t.Cleanup(func() { cancel(); testkit.WaitFor(t, "the end of Follow", ended) })
+	t.Cleanup(func() { cancel(); testkit.WaitFor(t, "the end of ReloadOnSignal", ended) })
 	wantLine := func(want string) {
 		t.Helper()
 		if got := testkit.Receive(t, "a line with "+want, lines); !strings.Contains(got, want) {
@@ -102,7 +102,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		signals, applied, ended := make(chan os.Signal), make(chan *Config, 1), make(chan struct{})
 		go func() {
-			Follow(ctx, current, signals, func(fresh *Config, _ time.Time) { applied <- fresh })
+			ReloadOnSignal(ctx, current, signals, func(fresh *Config, _ time.Time) { applied <- fresh })
 			close(ended)
 		}()
 		writeFile(t, path, "{")
@@ -182,7 +182,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		signals, applied, ended := make(chan os.Signal), make(chan time.Time, 1), make(chan struct{})
 		go func() {
-			Follow(ctx, current, signals, func(_ *Config, askedAt time.Time) { applied <- askedAt })
+			ReloadOnSignal(ctx, current, signals, func(_ *Config, askedAt time.Time) { applied <- askedAt })
 			close(ended)
 		}()
 		writeFile(t, path, "{")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -134,7 +134,7 @@
 	discoveryClient.PublishCached(ctx, cfg.Known)
 	running.Go(func() { discoveryClient.Run(ctx) })
 	running.Go(func() {
-		config.Follow(ctx, cfg, reload, func(fresh *config.Config, askedAt time.Time) {
+		config.ReloadOnSignal(ctx, cfg, reload, func(fresh *config.Config, askedAt time.Time) {
 			discoveryClient.Migrate(fresh.Discovery, askedAt)
 		})
 	})
