--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -7,7 +7,7 @@
 	"springfield/internal/simwire"
 )
 
-// adapter holds the instances of this process. They share nothing but the reply.
+// adapter holds the simulated gateway instances of this process. They share only the reply.
 type adapter struct {
 	instances map[uint32]*instance
 	reply     simwire.Reply
@@ -17,10 +17,10 @@
 	return &adapter{instances: map[uint32]*instance{}}
 }
 
-// unknownInstanceError reports an event for an instance that has not been started, or has been stopped.
+// unknownInstanceError reports an event for an instance that has not been started or has been stopped.
 type unknownInstanceError struct {
 	instance uint32
-	index    int // of the event in its batch
+	index    int // index of the event in its batch
 	code     simwire.EventCode
 }
 
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("event %d of the batch (code %d) is for unknown instance %d", e.index, e.code, e.instance)
 }
 
-// handleBatch hands the events of a batch to their instances in order, and leaves the actions in the reply.
+// handleBatch dispatches the events of a batch to their instances in order. The reply then holds the actions.
 func (a *adapter) handleBatch(batch *simwire.Batch) error {
 	a.reply.Reset()
 	now := settings.Duration(batch.ClockMs)
--- a/cmd/simadapter/adapter_test.go
+++ b/cmd/simadapter/adapter_test.go
@@ -10,30 +10,30 @@
 	"springfield/internal/simwire"
 )
 
-func start(instance uint32) simwire.Event {
+func startEvent(instance uint32) simwire.Event {
 	return simwire.Event{
 		Code: simwire.EventStart, Instance: instance, Seed: 1, Settings: &settings.Settings{Balancers: 1},
 	}
 }
 
-func batch(events ...simwire.Event) *simwire.Batch { return &simwire.Batch{Events: events} }
+func newBatch(events ...simwire.Event) *simwire.Batch { return &simwire.Batch{Events: events} }
 
-func TestStopAndStartInOneBatch(t *testing.T) {
+func TestInstanceRestartsWithinOneBatch(t *testing.T) {
 	a := newAdapter()
 	stop := simwire.Event{Code: simwire.EventStop, Instance: 1}
-	if err := a.handleBatch(batch(start(1), stop, start(1))); err != nil {
+	if err := a.handleBatch(newBatch(startEvent(1), stop, startEvent(1))); err != nil {
 		t.Fatal(err)
 	}
 	if a.instances[1] == nil {
-		t.Error("the instance that was started again is missing")
+		t.Error("the restarted instance is missing")
 	}
-	if err := a.handleBatch(batch(stop)); err != nil || a.instances[1] != nil {
+	if err := a.handleBatch(newBatch(stop)); err != nil || a.instances[1] != nil {
 		t.Errorf("after the stop: %v, %v", a.instances[1], err)
 	}
 }
 
 func TestUnknownInstanceIsError(t *testing.T) {
-	err := newAdapter().handleBatch(batch(simwire.Event{Code: simwire.EventTimerFired, Instance: 9}))
+	err := newAdapter().handleBatch(newBatch(simwire.Event{Code: simwire.EventTimerFired, Instance: 9}))
 	if err == nil || !strings.Contains(err.Error(), "unknown instance 9") {
 		t.Errorf("got %v", err)
 	}
@@ -45,27 +45,28 @@
 
 func TestPanicIsReportedOnce(t *testing.T) {
 	a := newAdapter()
-	failing := &instance{id: 4, reply: &a.reply} // without an engine, so that the first event panics
+	failing := &instance{id: 4, reply: &a.reply} // the nil engine makes the first event panic
 	event := &simwire.Event{Code: simwire.EventTimerFired, Instance: 4}
 	failing.handleEvent(0, event)
 	frame := a.reply.AppendFrame(nil)
-	const bailOut = 9 // the code of the action on the wire
+	const bailOut = 9 // code of the BailOut action in the simulator's protocol
 	if frame[8] != bailOut || !bytes.Contains(frame, []byte("panic")) {
-		t.Errorf("no report of the panic: %q", frame)
+		t.Errorf("the panic is not reported: %q", frame)
 	}
 	failing.handleEvent(0, event)
 	if again := a.reply.AppendFrame(nil); len(again) != len(frame) {
-		t.Error("a failed instance acted again")
+		t.Error("a failed instance reported another action")
 	}
 }
 
-// The policy sends no health checks, peer messages or counter calls. What answers them, or comes unasked, is ignored.
-func TestEventsThatThePolicyDoesNotUseAreIgnored(t *testing.T) {
+// The policy sends no health checks, peer messages or counter calls. Events that answer such actions, or that arrive
+// unsolicited, must not fail the batch or cause an action.
+func TestEventsUnusedByPolicyAreIgnored(t *testing.T) {
 	a := newAdapter()
-	if err := a.handleBatch(batch(start(1))); err != nil {
+	if err := a.handleBatch(newBatch(startEvent(1))); err != nil {
 		t.Fatal(err)
 	}
-	err := a.handleBatch(batch(
+	err := a.handleBatch(newBatch(
 		simwire.Event{Code: simwire.EventPeerMessage, Instance: 1, Sender: 9, Message: []byte{1}},
 		simwire.Event{Code: simwire.EventHealthCheckResult, Instance: 1, EndpointID: 9, Status: simwire.StatusOK},
 		simwire.Event{Code: simwire.EventCounterResult, Instance: 1, CounterName: 9, Status: simwire.StatusOK,
@@ -75,6 +76,6 @@
 		t.Fatal(err)
 	}
 	if frame := a.reply.AppendFrame(nil); len(frame) != 8 {
-		t.Errorf("an action follows: %x", frame)
+		t.Errorf("unused events caused an action: %x", frame)
 	}
 }
--- a/cmd/simadapter/instance.go
+++ b/cmd/simadapter/instance.go
@@ -11,29 +11,30 @@
 	"springfield/policy"
 )
 
-// What the report of a panic has of its stack, in characters: so many after those of the recovery itself.
+// The part of the stack trace that the report of a panic contains.
 const (
-	stackSkipped = 300
-	stackShown   = 600
+	stackSkippedBytes = 300 // frames of the recovery itself, which come first
+	stackShownChars   = 600
 )
 
-// instance is one gateway of the simulation. It carries out the actions of its engine by writing them to the reply.
+// instance is one simulated gateway. It implements policy.Actions by appending each action to the reply.
 type instance struct {
 	id      uint32
 	engine  *policy.Engine
 	reply   *simwire.Reply
-	columns []string // names of the values in a load report
-	failed  bool     // the policy has panicked, and is not called again
+	columns []string // names of the values in a load report, in order
+	failed  bool     // the policy has panicked and must not be called again
 }
 
 var _ policy.Actions = (*instance)(nil)
 
-// newInstance returns the instance that an EventStart tells of. Its engine starts when it handles that event.
+// newInstance returns the instance that an EventStart describes. Its engine starts when the instance handles that
+// event.
 func newInstance(start *simwire.Event, reply *simwire.Reply) *instance {
 	return &instance{id: start.Instance, reply: reply, columns: start.Settings.Report.Columns}
 }
 
-// handleEvent hands an event to the policy. A panic of the policy is reported to the simulator.
+// handleEvent passes an event to the policy. A panic of the policy is reported to the simulator.
 func (in *instance) handleEvent(now time.Duration, event *simwire.Event) {
 	if in.failed {
 		return
@@ -47,15 +48,15 @@
 	in.dispatch(now, event)
 }
 
-// panicReport describes a panic in one line.
+// panicReport describes a panic on one line.
 func panicReport(reason any, stack string) string {
 	stack = strings.ReplaceAll(stack, "\n", " | ")
-	stack = stack[min(len(stack), stackSkipped):]
-	return fmt.Sprintf("panic: %v at %.*s", reason, stackShown, stack)
+	stack = stack[min(len(stack), stackSkippedBytes):]
+	return fmt.Sprintf("panic: %v at %.*s", reason, stackShownChars, stack)
 }
 
-// dispatch calls the engine's method for an event. Events that answer actions which the policy does not take are
-// ignored.
+// dispatch calls the engine's method for an event. It ignores events that only answer actions which the policy never
+// takes.
 func (in *instance) dispatch(now time.Duration, event *simwire.Event) {
 	request := policy.RequestID(event.RequestID)
 	switch event.Code {
@@ -63,17 +64,17 @@
 		in.engine = policy.New(settings.PolicyConfig(event.Settings, event.Seed), in)
 		in.engine.Start(now)
 	case simwire.EventEndpointUpdate:
-		in.engine.UpdateEndpoints(now, updateKinds[event.UpdateKind], endpointsOf(event.Endpoints))
+		in.engine.UpdateEndpoints(now, updateKinds[event.UpdateKind], policyEndpoints(event.Endpoints))
 	case simwire.EventRequest:
-		in.engine.Submit(now, requestOf(event))
+		in.engine.Submit(now, policyRequest(event))
 	case simwire.EventResponseStarted:
 		in.engine.ResponseStarted(now, request, int(event.Attempt), policy.EndpointID(event.EndpointID))
 	case simwire.EventAttemptFinished:
-		in.engine.AttemptFinished(now, attemptResultOf(event, in.columns))
+		in.engine.AttemptFinished(now, policyAttemptResult(event, in.columns))
 	case simwire.EventClientDisconnected:
 		in.engine.ClientDisconnected(now, request)
 	case simwire.EventTimerFired:
-		in.engine.TimerFired(now, timerOf(event.Token))
+		in.engine.TimerFired(now, parseTimerToken(event.Token))
 	}
 }
 
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter runs the policy in the simulator: it reads batches of events from standard input and writes the
-// actions of the policy to standard output, with one policy.Engine for each instance.
+// Command simadapter connects the policy to the simulator. It reads batches of events from standard input, passes them
+// to one policy.Engine per simulated gateway, and writes the resulting actions to standard output.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	}
 }
 
-// run answers each batch of the input with one reply, until the input ends.
+// run writes one reply for each batch of the input until the input ends.
 func run(input io.Reader, output io.Writer) error {
 	decoder := simwire.NewDecoder(bufio.NewReaderSize(input, inputBufferBytes))
 	adapter := newAdapter()
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -14,7 +14,7 @@
 "Classes":[{"AimMs":500,"HardLimitMs":1000,"Repeat":"idempotent"}],
 "Contracts":[{"UnitsPerS":5,"Burst":10}],"Extra":{"UsePeriodMs":1000},"Report":{"Columns":["cpu"]}}`
 
-// startFrame is a batch with the start of instance 3.
+// startFrame returns the frame of a batch that starts instance 3.
 func startFrame() []byte {
 	fields := []byte{3, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0}
 	fields = binary.LittleEndian.AppendUint32(fields, uint32(len(settingsText)))
@@ -31,12 +31,12 @@
 	if err := run(bytes.NewReader(frame), &output); err != nil {
 		t.Fatal(err)
 	}
-	const setTimer = 4 // the code of the action on the wire
+	const setTimer = 4 // code of the SetTimer action in the simulator's protocol
 	if output.Len() != 8+25 || output.Bytes()[8] != setTimer {
 		t.Errorf("want one timer, got %x", output.Bytes())
 	}
 	if err := run(bytes.NewReader(frame[:20]), &output); err == nil {
-		t.Error("a short frame passed")
+		t.Error("a truncated frame was accepted")
 	}
 }
 
--- a/cmd/simadapter/translate.go
+++ b/cmd/simadapter/translate.go
@@ -8,8 +8,8 @@
 	"springfield/policy"
 )
 
-// statuses, updateKinds and endpointStates give the policy's value for each of the wire's, which the decoder has
-// checked.
+// statuses, updateKinds and endpointStates map the protocol's codes to the policy's values. The decoder has already
+// rejected unknown codes.
 var (
 	statuses = [...]policy.Status{
 		simwire.StatusOK:            policy.StatusOK,
@@ -36,7 +36,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func endpointsOf(entries []simwire.Endpoint) []policy.Endpoint {
+func policyEndpoints(entries []simwire.Endpoint) []policy.Endpoint {
 	endpoints := make([]policy.Endpoint, len(entries))
 	for i := range entries {
 		entry := &entries[i]
@@ -52,7 +52,7 @@
 	return endpoints
 }
 
-func requestOf(event *simwire.Event) policy.Request {
+func policyRequest(event *simwire.Event) policy.Request {
 	return policy.Request{
 		ID:       policy.RequestID(event.RequestID),
 		Class:    int(event.Class),
@@ -65,7 +65,7 @@
 	}
 }
 
-func attemptResultOf(event *simwire.Event, columns []string) policy.AttemptResult {
+func policyAttemptResult(event *simwire.Event, columns []string) policy.AttemptResult {
 	return policy.AttemptResult{
 		Request:     policy.RequestID(event.RequestID),
 		Attempt:     int(event.Attempt),
@@ -75,23 +75,23 @@
 		RequestDone: event.RequestDone,
 		HasUsage:    event.Usage > 0,
 		Usage:       (float64(event.Usage) - 1) / 100,
-		LoadReport:  loadReportOf(event.LoadReport, columns),
+		LoadReport:  policyLoadReport(event.LoadReport, columns),
 	}
 }
 
-// A timer's token on the wire has the request in its lower half. Above it come the attempt and, on top, the kind.
+// A timer token holds the request ID in bits 0 to 31, the attempt from bit 32 and the timer kind from bit 56.
 const (
 	attemptShift = 32
 	kindShift    = 56
 )
 
-// timerToken returns the token that names a timer on the wire.
+// timerToken encodes a timer as the token that identifies it in the simulator's protocol.
 func timerToken(timer policy.Timer) uint64 {
 	return uint64(timer.Kind)<<kindShift | uint64(uint8(timer.Attempt))<<attemptShift | uint64(timer.Request)
 }
 
-// timerOf returns the timer that a token of timerToken names.
-func timerOf(token uint64) policy.Timer {
+// parseTimerToken decodes a token that timerToken has encoded.
+func parseTimerToken(token uint64) policy.Timer {
 	return policy.Timer{
 		Kind:    policy.TimerKind(token >> kindShift),
 		Request: policy.RequestID(token),
@@ -99,29 +99,29 @@
 	}
 }
 
-// The columns of a load report that the policy can use.
+// The load report columns that the policy uses.
 const (
 	columnActive  = "active"  // requests in flight
 	columnWaiting = "waiting" // requests queued
-	columnCPU     = "cpu"     // share of the CPU that is busy
-	columnAvgMs   = "avg_ms"  // recent service time, in milliseconds
-	columnRPS     = "rps"     // answers per second
+	columnCPU     = "cpu"     // CPU utilization, from 0 to 1
+	columnAvgMs   = "avg_ms"  // recent average service time, in milliseconds
+	columnRPS     = "rps"     // responses per second
 	columnErrRPS  = "err_rps" // errors per second
 )
 
-// absent stands for a value that a load report does not have.
-const absent = -1
+// notReported marks a value that a load report does not contain.
+const notReported = -1
 
-// loadReportOf assigns the values of a load report by the names of their columns. Unknown columns are ignored.
-func loadReportOf(values []float32, columns []string) policy.LoadReport {
+// policyLoadReport converts a load report. It assigns values by column name and ignores unknown columns.
+func policyLoadReport(values []float32, columns []string) policy.LoadReport {
 	report := policy.LoadReport{
 		Present:     len(values) > 0,
-		InFlight:    absent,
-		Queued:      absent,
-		Utilization: absent,
-		Latency:     absent,
-		Rate:        absent,
-		Errors:      absent,
+		InFlight:    notReported,
+		Queued:      notReported,
+		Utilization: notReported,
+		Latency:     notReported,
+		Rate:        notReported,
+		Errors:      notReported,
 	}
 	for i := range min(len(values), len(columns)) {
 		value := float64(values[i])
--- a/cmd/simadapter/translate_test.go
+++ b/cmd/simadapter/translate_test.go
@@ -8,18 +8,18 @@
 	"springfield/policy"
 )
 
-func TestLoadReportFollowsColumns(t *testing.T) {
+func TestLoadReportValuesFollowColumnNames(t *testing.T) {
 	columns := []string{"rps", "avg_ms", "new_column"}
-	report := loadReportOf([]float32{12, 50, 7}, columns)
+	report := policyLoadReport([]float32{12, 50, 7}, columns)
 	if !report.Present || report.Rate != 12 || report.Latency != 0.05 || report.Utilization >= 0 {
 		t.Errorf("%+v", report)
 	}
-	if loadReportOf(nil, columns).Present {
-		t.Error("an empty report is present")
+	if policyLoadReport(nil, columns).Present {
+		t.Error("an empty report is marked as present")
 	}
 }
 
-func TestCodesOfThePolicyFollowTheWire(t *testing.T) {
+func TestProtocolCodesMapToPolicyCodes(t *testing.T) {
 	for code := simwire.StatusOK; code <= simwire.StatusNotSent; code += 10 {
 		if want := policy.Status(code/10 - 1); statuses[code] != want {
 			t.Errorf("status %d: got %d, want %d", code, statuses[code], want)
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestTimerTokenNamesTimer(t *testing.T) {
+func TestTimerTokenRoundTrips(t *testing.T) {
 	for _, timer := range []policy.Timer{
 		{Kind: policy.TimerManager},
 		{Kind: policy.TimerRelease, Request: 0xffffffff},
@@ -45,17 +45,17 @@
 		{Kind: policy.TimerSilence, Request: 1, Attempt: 255},
 		{Kind: policy.TimerWatch},
 	} {
-		if got := timerOf(timerToken(timer)); got != timer {
+		if got := parseTimerToken(timerToken(timer)); got != timer {
 			t.Errorf("got %+v, want %+v", got, timer)
 		}
 	}
 	silence := policy.Timer{Kind: policy.TimerSilence, Request: 0x5d3a91c4, Attempt: 2}
 	if got := timerToken(silence); got != 0x03000002_5d3a91c4 {
-		t.Errorf("got %x", got)
+		t.Errorf("got token %x", got)
 	}
 }
 
-func TestAttemptResultOfEvent(t *testing.T) {
+func TestEventConvertsToAttemptResult(t *testing.T) {
 	event := &simwire.Event{
 		Code: simwire.EventAttemptFinished, RequestID: 7, Attempt: 1, EndpointID: 9, Status: simwire.StatusReset,
 		LatencyMs: 18.5, RequestDone: true, Usage: 86, LoadReport: []float32{0.5},
@@ -64,20 +64,20 @@
 		Request: 7, Attempt: 1, Endpoint: 9, Status: policy.StatusReset, Latency: 18500 * time.Microsecond,
 		RequestDone: true, HasUsage: true, Usage: 0.85,
 		LoadReport: policy.LoadReport{
-			Present: true, InFlight: absent, Queued: absent, Utilization: 0.5, Latency: absent, Rate: absent,
-			Errors: absent,
+			Present: true, InFlight: notReported, Queued: notReported, Utilization: 0.5, Latency: notReported, Rate: notReported,
+			Errors: notReported,
 		},
 	}
-	if got := attemptResultOf(event, []string{"cpu"}); got != want {
+	if got := policyAttemptResult(event, []string{"cpu"}); got != want {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
 	event.Usage = 0
-	if attemptResultOf(event, nil).HasUsage {
-		t.Error("usage without a reading of the meter")
+	if policyAttemptResult(event, nil).HasUsage {
+		t.Error("a result without a meter reading has a usage")
 	}
 }
 
-func TestRequestOfEvent(t *testing.T) {
+func TestEventConvertsToRequest(t *testing.T) {
 	event := &simwire.Event{
 		Code: simwire.EventRequest, RequestID: 7, Class: 1, Plan: 2, Customer: 3, TimeLeftMs: 240, Units: 1.5,
 		SetSize: 4, SetFirst: 5,
@@ -85,13 +85,13 @@
 	want := policy.Request{
 		ID: 7, Class: 1, Plan: 2, Customer: 3, TimeLeft: 240 * time.Millisecond, Units: 1.5, SetSize: 4, SetFirst: 5,
 	}
-	if got := requestOf(event); got != want {
+	if got := policyRequest(event); got != want {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
 }
 
-func TestEndpointsOfEntries(t *testing.T) {
-	got := endpointsOf([]simwire.Endpoint{
+func TestEntriesConvertToEndpoints(t *testing.T) {
+	got := policyEndpoints([]simwire.Endpoint{
 		{ID: 7, Weight: 1.5, State: simwire.EndpointDraining, Zone: 1, Cell: 2, MachineType: 3, StartedAtMs: 6100},
 	})
 	want := policy.Endpoint{
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -3,23 +3,24 @@
 
 import "time"
 
-// origin is the policy's time when a clock is created. It is far above zero, which the policy takes for long ago.
-const origin = 1000 * time.Hour
+// startTime is the policy time at which a clock is created. It is far above zero because the policy treats zero as a
+// time in the distant past.
+const startTime = 1000 * time.Hour
 
-// Clock yields times as the policy counts them. They follow the monotonic clock alone: the wall clock may be wrong, or
-// be stepped while the process runs.
+// Clock returns policy times. They follow only the monotonic clock, because the wall clock may be wrong or may be
+// stepped while the process runs.
 type Clock struct {
-	base time.Time // carries the monotonic reading
+	base time.Time // creation time of the clock, with its monotonic reading
 }
 
-// New returns a clock that begins now.
+// New returns a clock that starts now.
 func New() Clock { return Clock{base: time.Now()} }
 
-// Now returns the present time.
-func (c Clock) Now() time.Duration { return origin + time.Since(c.base) }
+// Now returns the current policy time.
+func (c Clock) Now() time.Duration { return startTime + time.Since(c.base) }
 
-// ToTime converts a time of the policy to a time.Time, as deadlines of sockets take it.
-func (c Clock) ToTime(at time.Duration) time.Time { return c.base.Add(at - origin) }
+// ToTime converts a policy time to a time.Time, which socket deadlines require.
+func (c Clock) ToTime(at time.Duration) time.Time { return c.base.Add(at - startTime) }
 
-// FromTime converts a time.Time to a time of the policy.
-func (c Clock) FromTime(t time.Time) time.Duration { return origin + t.Sub(c.base) }
+// FromTime converts a time.Time to a policy time.
+func (c Clock) FromTime(t time.Time) time.Duration { return startTime + t.Sub(c.base) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -8,19 +8,19 @@
 	"springfield/internal/clock"
 )
 
-// The times of a clock do not depend on the wall clock: it may be wrong, and be stepped. In the bubble of a test the
-// wall clock reads the year 2000.
-func TestNowFollowsTheMonotonicClockAlone(t *testing.T) {
+// The wall clock may be wrong or may be stepped, which must not shift policy times. The test compares a clock created
+// outside a synctest bubble with one created inside, where the wall clock starts in the year 2000.
+func TestNowFollowsOnlyMonotonicClock(t *testing.T) {
 	outside := clock.New().Now()
 	synctest.Test(t, func(t *testing.T) {
 		c := clock.New()
 		begin := c.Now()
 		if difference := (outside - begin).Abs(); difference > time.Second {
-			t.Errorf("clocks of different wall clocks begin %v apart", difference)
+			t.Errorf("clocks created under different wall clocks start %v apart", difference)
 		}
 		time.Sleep(time.Hour)
 		if passed := c.Now() - begin; passed != time.Hour {
-			t.Errorf("%v passed in an hour", passed)
+			t.Errorf("the clock advanced by %v in one hour", passed)
 		}
 	})
 }
@@ -37,10 +37,10 @@
 	}
 }
 
-func TestConversionsKeepDistances(t *testing.T) {
+func TestConversionsPreserveIntervals(t *testing.T) {
 	c := clock.New()
 	now := c.Now()
 	if got := c.ToTime(now + time.Second).Sub(c.ToTime(now)); got != time.Second {
-		t.Errorf("times a second apart are %v apart after the conversion", got)
+		t.Errorf("an interval of 1s became %v after the conversion", got)
 	}
 }
--- a/internal/config/budget.go
+++ b/internal/config/budget.go
@@ -2,34 +2,35 @@
 
 import "syscall"
 
-// The budget of file descriptors. The gateway's own come off first: three standard streams, the listener, the two of
-// the Go runtime, a connection that is just being accepted or closed, the configuration file while it is read again,
-// and the connections to discovery, an old one and two at a new address. The rest is shared by connections of clients
-// and to endpoints.
+// The constants divide the file descriptors of the process. Some are reserved for the gateway itself: three standard
+// streams, the listener, two of the Go runtime, a connection that is being accepted or closed, the configuration file
+// during a reload, and the connections to discovery (one to the old address and two to a new one). The remaining
+// descriptors are divided between client connections and endpoint connections.
 const (
-	defaultDescriptors = 1024
-	ownDescriptors     = 12
-	maxOwnShare        = 0.25 // of all; leaves most of a small budget
-	clientShare        = 0.68 // of the rest, with the connections that wait for a slot
-	upstreamShare      = 0.28 // of the rest
+	defaultDescriptors  = 1024
+	reservedDescriptors = 12
+	maxReservedShare    = 0.25 // upper bound of the reserved share, so that a small limit still allows connections
+	clientShare         = 0.68 // share of the remainder for client connections, including those that wait for a slot
+	upstreamShare       = 0.28 // share of the remainder for endpoint connections
 )
 
-// ClientConnections returns the most connections of clients that may be open.
-func (c *Config) ClientConnections() int { return c.descriptors(clientShare) }
+// ClientConnections returns the maximum number of open client connections.
+func (c *Config) ClientConnections() int { return c.descriptorShare(clientShare) }
 
-// UpstreamConnections returns the most connections to endpoints that may be open.
-func (c *Config) UpstreamConnections() int { return c.descriptors(upstreamShare) }
+// UpstreamConnections returns the maximum number of open connections to endpoints.
+func (c *Config) UpstreamConnections() int { return c.descriptorShare(upstreamShare) }
 
-// descriptors returns a share of the budget, which is bounded by the configuration and by the operating system.
-func (c *Config) descriptors(share float64) int {
+// descriptorShare returns the number of descriptors in a share of those that are not reserved, but at least 1. The
+// total is the lower of the configured limit and the limit of the operating system.
+func (c *Config) descriptorShare(share float64) int {
 	total := c.Limits.Sockets
 	if total <= 0 {
 		total = defaultDescriptors
 	}
-	var system syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &system); err == nil && system.Cur < uint64(total) {
-		total = int(system.Cur)
+	var systemLimit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &systemLimit); err == nil && systemLimit.Cur < uint64(total) {
+		total = int(systemLimit.Cur)
 	}
-	own := min(ownDescriptors, maxOwnShare*float64(total))
-	return max(1, int((float64(total)-own)*share))
+	reserved := min(reservedDescriptors, maxReservedShare*float64(total))
+	return max(1, int((float64(total)-reserved)*share))
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config holds the configuration of a gateway: a JSON file, three environment variables that precede it at the
-// start, and what is derived from both, such as time limits and the budget of file descriptors. The file can be
+// Package config loads the configuration of a gateway from a JSON file and three environment variables, which override
+// fields of the file at startup. It also derives values such as timeouts and connection limits. The file can be
 // reloaded while the gateway runs.
 package config
 
@@ -14,7 +14,7 @@
 	"springfield/internal/settings"
 )
 
-// The environment variables that Load reads. pathVariable names the file; the others precede its fields.
+// The environment variables that Load reads. pathVariable holds the path of the file; the others override its fields.
 const (
 	pathVariable      = "RELAY_CONFIG"
 	nameVariable      = "RELAY_NAME"
@@ -22,34 +22,34 @@
 	discoveryVariable = "RELAY_DISCOVERY"
 )
 
-// Errors of Load for values that are missing.
+// The errors that Load returns for missing values.
 var (
 	ErrNoPath             = errors.New(pathVariable + " is not set")
-	ErrNoListenAddress    = errors.New("the address to listen on is missing")
-	ErrNoDiscoveryAddress = errors.New("the address of discovery is missing")
+	ErrNoListenAddress    = errors.New("the listen address is missing")
+	ErrNoDiscoveryAddress = errors.New("the discovery address is missing")
 	ErrNoClasses          = errors.New("the settings contain no classes")
 )
 
 // Config is the configuration of a gateway.
 type Config struct {
 	Name      string
-	Listen    string // address for clients
-	Discovery string // address of discovery
-	Seed      string // for random numbers, hexadecimal
+	Listen    string // address on which the gateway accepts clients
+	Discovery string // address of the discovery service
+	Seed      string // seed of the random number generator, in hexadecimal
 	Limits    Limits
-	Known     discovery.EndpointList // the list that the gateway held last
+	Known     discovery.EndpointList // last list that the gateway had, used until discovery answers
 	Settings  settings.Settings
 
-	path string // of the file
+	path string // path of the configuration file
 }
 
-// Limits bounds the resources of the gateway's process.
+// Limits bounds the resources of the gateway process.
 type Limits struct {
 	MemoryMB int `json:"memory_mb"`
-	Sockets  int // file descriptors; 0: the default
+	Sockets  int // maximum number of file descriptors; 0 selects the default
 }
 
-// Load reads the file that the environment names, applies the other variables and checks the result.
+// Load reads the file that the environment names, applies the overriding variables and validates the result.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv(pathVariable)
 	if path == "" {
@@ -68,7 +68,7 @@
 	return c, nil
 }
 
-// read reads a file without checking what it contains.
+// read parses a file without validating its values.
 func read(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-// validate reports the first value that is missing.
+// validate returns an error for the first missing value.
 func (c *Config) validate() error {
 	switch {
 	case c.Listen == "":
@@ -102,7 +102,7 @@
 	}
 }
 
-// RandomSeed returns the seed for random numbers; it is 0 if none is configured.
+// RandomSeed returns the seed of the random number generator, or 0 if none is configured.
 func (c *Config) RandomSeed() (uint64, error) {
 	if c.Seed == "" {
 		return 0, nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 "known":{"version":41,"full":true,"servers":[{"id":"s","addr":"127.0.0.1:2","state":"up","weight":2,"started_ms":7}]},
 "settings":{"Balancers":1,"Classes":[{"Name":"pay","HardLimitMs":8000,"Repeat":"at_most_once"}]}}`
 
-// environment returns a getenv function.
+// environment returns a getenv function that looks up the given variables.
 func environment(variables map[string]string) func(string) string {
 	return func(name string) string { return variables[name] }
 }
@@ -31,14 +31,14 @@
 	}
 	known := c.Known
 	if known.Version != 41 || !known.Full || len(known.Servers) != 1 || known.Servers[0].StartedMS != 7 {
-		t.Errorf("list %+v", known)
+		t.Errorf("endpoint list %+v", known)
 	}
 	if seed, err := c.RandomSeed(); err != nil || seed != 0x8c1f30d27a5be964 {
 		t.Errorf("seed %x, %v", seed, err)
 	}
 }
 
-func TestEnvironmentPrecedesTheFile(t *testing.T) {
+func TestEnvironmentOverridesFile(t *testing.T) {
 	c, err := Load(environment(map[string]string{
 		"RELAY_CONFIG": newFile(t, completeFile), "RELAY_NAME": "n9",
 		"RELAY_LISTEN": "127.0.0.1:8", "RELAY_DISCOVERY": "127.0.0.1:9",
@@ -70,7 +70,7 @@
 	}
 	var syntax *json.SyntaxError
 	if _, err := Load(environment(map[string]string{"RELAY_CONFIG": newFile(t, "{")})); !errors.As(err, &syntax) {
-		t.Errorf("half a file: %v", err)
+		t.Errorf("a truncated file: %v", err)
 	}
 }
 
@@ -83,10 +83,10 @@
 	}
 }
 
-// The shares of the descriptors leave room for those of the gateway itself.
+// Connections must not use up the descriptors that the gateway needs for itself, such as for reloads and discovery.
 func TestDescriptorsAreSplitBetweenClientsAndEndpoints(t *testing.T) {
 	for _, test := range []struct{ sockets, clients, upstream int }{
-		{0, 688, 283}, // as 1024
+		{0, 688, 283}, // the default limit is 1024
 		{1024, 688, 283},
 		{10, 5, 2},
 		{1, 1, 1},
--- a/internal/config/helper_test.go
+++ b/internal/config/helper_test.go
@@ -8,13 +8,13 @@
 	"springfield/internal/testkit"
 )
 
-// newTestConfig returns a configuration with the settings of testkit.
+// newTestConfig returns a configuration with the settings of testkit.Settings.
 func newTestConfig(t *testing.T) *Config {
 	t.Helper()
 	return &Config{Settings: testkit.Settings(t)}
 }
 
-// writeFile writes a configuration file, or overwrites it.
+// writeFile creates or overwrites a configuration file.
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -22,7 +22,7 @@
 	}
 }
 
-// newFile returns the path of a new configuration file.
+// newFile creates a configuration file with the given text and returns its path.
 func newFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -9,55 +9,55 @@
 	"time"
 )
 
-// A file that cannot be used may be one that is just being written: it is read again for 2 s.
+// An unusable file may only be partly written yet, so ReloadOnSignal reads it again for up to 2 s.
 const (
-	rereadInterval = 100 * time.Millisecond
-	maxRereads     = 20
+	retryInterval = 100 * time.Millisecond
+	maxRetries    = 20
 )
 
-// IncompatibleError says that a file is the configuration of another gateway or of another deployment.
+// IncompatibleError reports that a file is the configuration of another gateway or deployment.
 type IncompatibleError struct {
-	Field   string // what differs
-	Current string // its value in the configuration in force; "": there is none
-	New     string // its value in the file
+	Field   string // field that differs
+	Current string // value in the active configuration, or "" if it has none
+	New     string // value in the file
 }
 
 func (e *IncompatibleError) Error() string {
-	return fmt.Sprintf("incompatible configuration: %s %q in place of %q", e.Field, e.New, e.Current)
+	return fmt.Sprintf("incompatible configuration: %s is %q, want %q", e.Field, e.New, e.Current)
 }
 
-// Reload reads the file again. The environment variables are ignored: they are as old as the process. The error is an
-// *IncompatibleError if the file belongs to another gateway or deployment.
+// Reload reads the file again. It ignores the environment variables, which cannot change after the process has started.
+// The error wraps an *IncompatibleError if the file belongs to another gateway or deployment.
 func (c *Config) Reload() (*Config, error) {
-	fresh, err := read(c.path)
+	reloaded, err := read(c.path)
 	if err != nil {
 		return nil, err
 	}
-	if _, _, err := net.SplitHostPort(fresh.Discovery); err != nil {
-		return nil, fmt.Errorf("%s: the address of discovery: %w", c.path, err)
+	if _, _, err := net.SplitHostPort(reloaded.Discovery); err != nil {
+		return nil, fmt.Errorf("%s: discovery address: %w", c.path, err)
 	}
-	if err := c.checkCompatible(fresh); err != nil {
+	if err := c.checkCompatible(reloaded); err != nil {
 		return nil, fmt.Errorf("%s: %w", c.path, err)
 	}
-	return fresh, nil
+	return reloaded, nil
 }
 
-// checkCompatible rejects the configuration of another gateway or deployment. A gateway keeps its name when it restarts
-// and its settings for as long as it runs, so the endpoints of another deployment would be used by the wrong rules.
-func (c *Config) checkCompatible(fresh *Config) error {
-	if fresh.Name != "" && c.Name != "" && fresh.Name != c.Name {
-		return &IncompatibleError{Field: "name", Current: c.Name, New: fresh.Name}
+// checkCompatible rejects the configuration of another gateway or deployment. A gateway keeps its name across restarts
+// and its settings until it exits, so it would apply the wrong settings to the endpoints of another deployment.
+func (c *Config) checkCompatible(reloaded *Config) error {
+	if reloaded.Name != "" && c.Name != "" && reloaded.Name != c.Name {
+		return &IncompatibleError{Field: "name", Current: c.Name, New: reloaded.Name}
 	}
-	if err := c.checkClasses(fresh); err != nil {
+	if err := c.checkClasses(reloaded); err != nil {
 		return err
 	}
-	return c.checkPlans(fresh)
+	return c.checkPlans(reloaded)
 }
 
-func (c *Config) checkClasses(fresh *Config) error {
+func (c *Config) checkClasses(reloaded *Config) error {
 	current := c.Settings.Classes
-	for i := range fresh.Settings.Classes {
-		class := &fresh.Settings.Classes[i]
+	for i := range reloaded.Settings.Classes {
+		class := &reloaded.Settings.Classes[i]
 		if i >= len(current) {
 			return &IncompatibleError{Field: "class", New: class.Name}
 		}
@@ -72,10 +72,10 @@
 	return nil
 }
 
-func (c *Config) checkPlans(fresh *Config) error {
+func (c *Config) checkPlans(reloaded *Config) error {
 	current := c.Settings.Contracts
-	for i := range fresh.Settings.Contracts {
-		plan := &fresh.Settings.Contracts[i]
+	for i := range reloaded.Settings.Contracts {
+		plan := &reloaded.Settings.Contracts[i]
 		if i >= len(current) {
 			return &IncompatibleError{Field: "plan", New: plan.Name}
 		}
@@ -86,41 +86,40 @@
 	return nil
 }
 
-// ReloadOnSignal reloads the configuration at each signal until ctx ends, and passes each one that can be used to apply, with
-// the time of the signal that asked for it. It reads a file that cannot be used again for a short time. Each file is
-// compared with the current configuration of the start, since only the address of discovery is taken over from a new
-// one.
+// ReloadOnSignal reloads the configuration on each signal until ctx ends. It passes each usable configuration to apply,
+// with the time of the signal that requested it, and retries an unusable file for a short time. Each file is compared
+// with the configuration at startup, because a reload changes only the discovery address.
 func ReloadOnSignal(ctx context.Context, current *Config, signals <-chan os.Signal, apply func(*Config, time.Time)) {
-	var reread <-chan time.Time // nil: no reread is due
-	var askedAt time.Time       // when the first signal came that has not been served; zero: all have been
-	rereads := 0
+	var retry <-chan time.Time // fires when the next retry is due; nil if no retry is scheduled
+	var requestedAt time.Time  // arrival of the first pending signal; zero if none is pending
+	retries := 0
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-signals:
-			rereads = 0
-			if askedAt.IsZero() {
-				askedAt = time.Now()
+			retries = 0
+			if requestedAt.IsZero() {
+				requestedAt = time.Now()
 			}
-		case <-reread:
-			rereads++
+		case <-retry:
+			retries++
 		}
-		reread = nil
-		fresh, err := current.Reload()
+		retry = nil
+		reloaded, err := current.Reload()
 		if err == nil {
-			slog.Info("configuration reloaded", "discovery", fresh.Discovery)
-			apply(fresh, askedAt)
-			askedAt = time.Time{}
+			slog.Info("configuration reloaded", "discovery", reloaded.Discovery)
+			apply(reloaded, requestedAt)
+			requestedAt = time.Time{}
 			continue
 		}
-		if rereads == 0 {
+		if retries == 0 {
 			slog.Warn("configuration kept", "err", err)
 		}
-		if rereads < maxRereads {
-			reread = time.After(rereadInterval)
+		if retries < maxRetries {
+			retry = time.After(retryInterval)
 		} else {
-			askedAt = time.Time{}
+			requestedAt = time.Time{}
 		}
 	}
 }
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -22,7 +22,7 @@
 		`","Repeat":"idempotent"}],"Contracts":[{"Name":"team"}]}}`
 }
 
-// lineWriter sends each line of the log to a channel.
+// lineWriter sends each line of a log to a channel.
 type lineWriter chan<- string
 
 func (w lineWriter) Write(text []byte) (int, error) {
@@ -38,14 +38,14 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(lineWriter(lines), nil)))
 	t.Cleanup(func() {
 		slog.SetDefault(logger)
-		log.SetOutput(output) // SetDefault has redirected package log, too
+		log.SetOutput(output) // slog.SetDefault has also redirected package log
 		log.SetFlags(flags)
 	})
 	return lines
 }
 
-// A file that is broken, half written or another deployment's leaves the last good configuration in force, with one
-// line in the log. One that was just being written is applied once it is complete.
+// A file that is invalid, incomplete or belongs to another deployment must leave the last valid configuration active,
+// with one line in the log. A file whose write completes during the retries must be applied without another signal.
 func TestUnusableFilesAreNotApplied(t *testing.T) {
 	lines := captureLog(t)
 	path := newFile(t, fileFor("n1", "127.0.0.1:1", "lookup"))
@@ -56,7 +56,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	signals, applied, ended := make(chan os.Signal), make(chan *Config, 1), make(chan struct{})
 	go func() {
-		ReloadOnSignal(ctx, current, signals, func(fresh *Config, _ time.Time) { applied <- fresh })
+		ReloadOnSignal(ctx, current, signals, func(reloaded *Config, _ time.Time) { applied <- reloaded })
 		close(ended)
 	}()
 	t.Cleanup(func() { cancel(); testkit.WaitFor(t, "the end of ReloadOnSignal", ended) })
@@ -82,16 +82,16 @@
 			t.Errorf("%s: applied %+v", unusable, <-applied)
 		}
 	}
-	writeFile(t, path, complete) // without another signal
+	writeFile(t, path, complete) // the retries must read it without another signal
 	wantLine(`level=INFO msg="configuration reloaded" discovery=127.0.0.1:2`)
-	if fresh := testkit.Receive(t, "the configuration", applied); fresh.Discovery != "127.0.0.1:2" {
-		t.Errorf("applied %+v", fresh)
+	if reloaded := testkit.Receive(t, "the configuration", applied); reloaded.Discovery != "127.0.0.1:2" {
+		t.Errorf("applied %+v", reloaded)
 	}
 }
 
-// A file that cannot be used is read again for two seconds, which is logged once. Later it takes another signal, which
-// begins anew.
-func TestRereadsEndAfterTwoSeconds(t *testing.T) {
+// An unusable file must be retried for two seconds and logged once. After that, only another signal may cause a reload,
+// and that signal starts new retries.
+func TestRetriesEndAfterTwoSeconds(t *testing.T) {
 	path := newFile(t, fileFor("n1", "127.0.0.1:1", "lookup"))
 	current, err := read(path)
 	if err != nil {
@@ -102,12 +102,12 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		signals, applied, ended := make(chan os.Signal), make(chan *Config, 1), make(chan struct{})
 		go func() {
-			ReloadOnSignal(ctx, current, signals, func(fresh *Config, _ time.Time) { applied <- fresh })
+			ReloadOnSignal(ctx, current, signals, func(reloaded *Config, _ time.Time) { applied <- reloaded })
 			close(ended)
 		}()
 		writeFile(t, path, "{")
 		signals <- os.Interrupt
-		time.Sleep(maxRereads*rereadInterval + rereadInterval/2)
+		time.Sleep(maxRetries*retryInterval + retryInterval/2)
 		synctest.Wait()
 		if len(lines) != 1 {
 			t.Errorf("%d lines logged, want 1", len(lines))
@@ -115,17 +115,17 @@
 		writeFile(t, path, fileFor("n1", "127.0.0.1:2", "lookup"))
 		time.Sleep(time.Minute)
 		if len(applied) != 0 || len(lines) != 1 {
-			t.Errorf("applied %d configurations with no signal; %d lines logged", len(applied), len(lines))
+			t.Errorf("applied %d configurations without a signal; %d lines logged", len(applied), len(lines))
 		}
 		writeFile(t, path, "{")
 		signals <- os.Interrupt
 		synctest.Wait()
 		if len(lines) != 2 {
-			t.Errorf("%d lines logged, want another one", len(lines))
+			t.Errorf("%d lines logged, want 2", len(lines))
 		}
 		writeFile(t, path, fileFor("n1", "127.0.0.1:2", "lookup"))
-		if fresh := <-applied; fresh.Discovery != "127.0.0.1:2" {
-			t.Errorf("applied %+v", fresh)
+		if reloaded := <-applied; reloaded.Discovery != "127.0.0.1:2" {
+			t.Errorf("applied %+v", reloaded)
 		}
 		cancel()
 		<-ended
@@ -165,14 +165,14 @@
 		t.Errorf("without an address: %v", err)
 	}
 	writeFile(t, path, good)
-	if fresh, err := current.Reload(); err != nil || fresh.Discovery != "127.0.0.1:2" {
-		t.Errorf("%+v, %v", fresh, err)
+	if reloaded, err := current.Reload(); err != nil || reloaded.Discovery != "127.0.0.1:2" {
+		t.Errorf("%+v, %v", reloaded, err)
 	}
 }
 
-// A configuration that is complete only after rereads counts from the first signal that asked for it: the time that the
-// rereads take is missing later. The next signal begins anew.
-func TestReloadTellsWhenItWasAskedFor(t *testing.T) {
+// A configuration that becomes usable during the retries must carry the time of the first signal that requested it, or
+// the caller would not account for the time of the retries. The next signal must be timed by itself.
+func TestReloadReportsTimeOfFirstSignal(t *testing.T) {
 	path := newFile(t, fileFor("n1", "127.0.0.1:1", "lookup"))
 	current, err := read(path)
 	if err != nil {
@@ -182,24 +182,24 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		signals, applied, ended := make(chan os.Signal), make(chan time.Time, 1), make(chan struct{})
 		go func() {
-			ReloadOnSignal(ctx, current, signals, func(_ *Config, askedAt time.Time) { applied <- askedAt })
+			ReloadOnSignal(ctx, current, signals, func(_ *Config, requestedAt time.Time) { applied <- requestedAt })
 			close(ended)
 		}()
 		writeFile(t, path, "{")
 		first := time.Now()
 		signals <- os.Interrupt
-		time.Sleep(maxRereads / 2 * rereadInterval)
+		time.Sleep(maxRetries / 2 * retryInterval)
 		signals <- os.Interrupt
-		time.Sleep(maxRereads / 2 * rereadInterval)
+		time.Sleep(maxRetries / 2 * retryInterval)
 		writeFile(t, path, fileFor("n1", "127.0.0.1:2", "lookup"))
-		if askedAt := <-applied; !askedAt.Equal(first) {
-			t.Errorf("asked for %v after the first signal", askedAt.Sub(first))
+		if requestedAt := <-applied; !requestedAt.Equal(first) {
+			t.Errorf("the reported time is %v after the first signal", requestedAt.Sub(first))
 		}
 		time.Sleep(time.Minute)
 		second := time.Now()
 		signals <- os.Interrupt
-		if askedAt := <-applied; !askedAt.Equal(second) {
-			t.Errorf("then asked for %v before the signal", second.Sub(askedAt))
+		if requestedAt := <-applied; !requestedAt.Equal(second) {
+			t.Errorf("the reported time is %v before the second signal", second.Sub(requestedAt))
 		}
 		cancel()
 		<-ended
--- a/internal/config/timeouts.go
+++ b/internal/config/timeouts.go
@@ -11,8 +11,8 @@
 	defaultDialTimeout       = 250 * time.Millisecond
 	defaultServerIdleTimeout = 15 * time.Second
 
-	// maxForwardDelay bounds the time from the policy's decision to forward a request to its first byte on a
-	// connection, besides the time of a dial.
+	// maxForwardDelay bounds the time from the policy's decision to forward a request until its first byte is written
+	// to a connection, not counting the dial.
 	maxForwardDelay = 50 * time.Millisecond
 )
 
@@ -24,8 +24,8 @@
 	return defaultDialTimeout
 }
 
-// UpstreamIdleTimeout returns how long a connection to an endpoint may be idle: three fifths of the time after which
-// the endpoint closes it.
+// UpstreamIdleTimeout returns how long a connection to an endpoint may be idle. It is three fifths of the endpoint's
+// own idle timeout, so that the gateway closes the connection first.
 func (c *Config) UpstreamIdleTimeout() time.Duration {
 	serverTimeout := settings.Duration(c.Settings.Limits.ConnIdleMs)
 	if serverTimeout <= 0 {
@@ -34,8 +34,8 @@
 	return serverTimeout * 3 / 5
 }
 
-// LongestDeadline returns the longest time that a client of any class waits for its response. Where a class has no
-// deadline of its own, requests state one, up to settings.MaxDeadline.
+// LongestDeadline returns the longest time that a client of any class waits for its response. Requests of a class
+// without a deadline state their own, which settings.MaxDeadline bounds.
 func (c *Config) LongestDeadline() time.Duration {
 	var longest time.Duration
 	for i := range c.Settings.Classes {
@@ -48,8 +48,8 @@
 	return longest
 }
 
-// PolicyConfig returns the policy's configuration for real connections. An attempt may wait for a dial, so the time in
-// which endpoints discard repeated idempotency keys is shorter for the policy by the longest such delay.
+// PolicyConfig returns the policy configuration for real connections. It reduces each KeyTTL by the longest time
+// between a decision and the first byte of its attempt, so that a retry arrives while endpoints still know its key.
 func (c *Config) PolicyConfig(seed uint64) policy.Config {
 	config := settings.PolicyConfig(&c.Settings, seed)
 	for i := range config.Classes {
--- a/internal/config/timeouts_test.go
+++ b/internal/config/timeouts_test.go
@@ -7,19 +7,19 @@
 	"springfield/internal/settings"
 )
 
-// A request with an idempotency key may be sent again only while endpoints discard the key, counted up to the first
-// byte, which a dial may delay.
-func TestKeyTTLAllowsForADial(t *testing.T) {
+// A retry with an idempotency key is safe only while the endpoint still knows the key. A dial can delay the retry's
+// first byte, so the policy must use a shorter TTL.
+func TestKeyTTLIsReducedByDialTimeout(t *testing.T) {
 	classes := newTestConfig(t).PolicyConfig(1).Classes
 	if got, want := classes[1].KeyTTL, 1200*time.Millisecond; got != want {
-		t.Errorf("keys are discarded for %v, want %v: 1.5 s less a dial of 250 ms and the delay before it", got, want)
+		t.Errorf("KeyTTL is %v, want %v: 1.5 s less a dial of 250 ms and a forwarding delay of 50 ms", got, want)
 	}
 	if classes[0].KeyTTL != 0 {
-		t.Errorf("below zero: %v", classes[0].KeyTTL)
+		t.Errorf("KeyTTL of a class without keys is %v, want 0", classes[0].KeyTTL)
 	}
 }
 
-func TestTimeoutsFollowTheSettings(t *testing.T) {
+func TestTimeoutsAreDerivedFromSettings(t *testing.T) {
 	c := newTestConfig(t)
 	if c.DialTimeout() != 250*time.Millisecond || c.UpstreamIdleTimeout() != 9*time.Second ||
 		c.LongestDeadline() != 8*time.Second {
@@ -27,14 +27,14 @@
 	}
 	c.Settings.Classes[0].HardLimitMs = 0
 	if c.LongestDeadline() != settings.MaxDeadline {
-		t.Errorf("a class without a limit: deadline %v", c.LongestDeadline())
+		t.Errorf("a class without a deadline: deadline %v", c.LongestDeadline())
 	}
 	c.Settings.Limits.DialTimeoutMs, c.Settings.Limits.ConnIdleMs = 100, 5000
 	if c.DialTimeout() != 100*time.Millisecond || c.UpstreamIdleTimeout() != 3*time.Second {
-		t.Errorf("as set: dial %v, idle %v", c.DialTimeout(), c.UpstreamIdleTimeout())
+		t.Errorf("explicit timeouts: dial %v, idle %v", c.DialTimeout(), c.UpstreamIdleTimeout())
 	}
 	c = &Config{}
 	if c.DialTimeout() != defaultDialTimeout || c.UpstreamIdleTimeout() != 9*time.Second || c.LongestDeadline() != 0 {
-		t.Errorf("by default: dial %v, idle %v, deadline %v", c.DialTimeout(), c.UpstreamIdleTimeout(), c.LongestDeadline())
+		t.Errorf("defaults: dial %v, idle %v, deadline %v", c.DialTimeout(), c.UpstreamIdleTimeout(), c.LongestDeadline())
 	}
 }
