--- a/internal/configcheck/configcheck.go
+++ b/internal/configcheck/configcheck.go
@@ -1,5 +1,5 @@
-// Package configcheck finds what is wrong with a gateway's configuration file. Unlike package config, which stops at
-// the first value that keeps the gateway from starting, it reports every problem with its JSON path and line.
+// Package configcheck validates a gateway's configuration file. Unlike package config, which stops at the first value
+// that prevents the gateway from starting, it reports every problem with its JSON path and line.
 package configcheck
 
 import (
@@ -14,14 +14,14 @@
 	"springfield/internal/config"
 )
 
-// Severity tells how bad a problem is.
+// Severity classifies a problem.
 type Severity uint8
 
 // The severities of a problem.
 const (
-	// Warning is a value that has no effect, or that is likely to be a mistake.
+	// Warning marks a value that has no effect or is likely to be a mistake.
 	Warning Severity = iota + 1
-	// Error is a value that the gateway cannot use: it would not start, or not do what the file says.
+	// Error marks a value that the gateway cannot use: it would not start, or would not do what the file says.
 	Error
 )
 
@@ -37,18 +37,18 @@
 	}
 }
 
-// Problem is one thing that is wrong with a configuration.
+// Problem describes an invalid or questionable value of a configuration.
 type Problem struct {
 	Severity Severity
 	Path     string // JSON path, such as "$.settings.Classes[0].AimMs"
-	Line     int    // from 1; of a missing value, the line of the object that lacks it
+	Line     int    // line number from 1; for a missing value, the line of the enclosing object
 	Reason   string
 }
 
 // String returns the path and the reason.
 func (p Problem) String() string { return p.Path + ": " + p.Reason }
 
-// Check returns the problems of a configuration file, in the order of its lines. A file that is no JSON has a single
+// Check returns the problems of a configuration file, ordered by line. A file that is not valid JSON has a single
 // problem.
 func Check(text []byte) []Problem {
 	document, err := parse(text)
@@ -58,7 +58,7 @@
 	c := &checker{lines: map[string]int{}, unusable: map[string]bool{}}
 	c.checkType(document, rootPath, reflect.TypeFor[config.Config]())
 	var parsed config.Config
-	var mistyped *json.UnmarshalTypeError // reported by checkType, as are all further ones
+	var mistyped *json.UnmarshalTypeError // checkType has already reported all values of a wrong type
 	if err := json.Unmarshal(text, &parsed); err != nil && !errors.As(err, &mistyped) {
 		c.fail(rootPath, "%v", err)
 	}
@@ -69,7 +69,7 @@
 	return c.problems
 }
 
-// Count returns how many problems have the severity.
+// Count returns the number of problems with the given severity.
 func Count(problems []Problem, severity Severity) int {
 	count := 0
 	for _, problem := range problems {
@@ -83,7 +83,7 @@
 // checker collects the problems of a document.
 type checker struct {
 	problems []Problem
-	lines    map[string]int  // of each path that the document has
+	lines    map[string]int  // line number of each path in the document
 	unusable map[string]bool // paths of values that could not be decoded
 }
 
@@ -97,7 +97,7 @@
 	c.add(Warning, path, fmt.Sprintf(format, arguments...))
 }
 
-// failMissing reports a value that must be there.
+// failMissing reports a required value that is missing or empty.
 func (c *checker) failMissing(path, want string) {
 	if c.has(path) {
 		c.fail(path, "is empty, want %s", want)
@@ -106,7 +106,7 @@
 	c.fail(path, "is missing, want %s", want)
 }
 
-// add reports a problem, unless the value or what contains it could not be decoded: that has been reported.
+// add reports a problem unless the value or one that contains it could not be decoded, which has already been reported.
 func (c *checker) add(severity Severity, path, reason string) {
 	for parent := path; parent != ""; parent = parentPath(parent) {
 		if c.unusable[parent] {
@@ -118,7 +118,7 @@
 
 func (c *checker) has(path string) bool { return c.lines[path] > 0 }
 
-// line returns the line of a path, or else that of the innermost object that contains it.
+// line returns the line of a path or, if the document does not contain it, of the innermost object that would.
 func (c *checker) line(path string) int {
 	for ; path != ""; path = parentPath(path) {
 		if line, ok := c.lines[path]; ok {
@@ -140,10 +140,10 @@
 
 func elementPath(parent string, index int) string { return fmt.Sprintf("%s[%d]", parent, index) }
 
-// parentPath returns the path of the object or array that contains a path, or "" for the root.
+// parentPath returns the path of the object or array that contains the given path, or "" for the root.
 func parentPath(path string) string { return path[:max(0, strings.LastIndexAny(path, ".["))] }
 
-// isPlainKey tells whether a key needs no quotes in a JSON path.
+// isPlainKey reports whether a key needs no quotes in a JSON path.
 func isPlainKey(key string) bool {
 	for i, r := range key {
 		letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r == '_'
--- a/internal/configcheck/document.go
+++ b/internal/configcheck/document.go
@@ -7,14 +7,14 @@
 	"fmt"
 )
 
-// value is a JSON value with the line on which it begins.
+// value is a JSON value with the line on which it starts.
 type value struct {
 	line int
-	// content is a member list, an element list, or what json.Decoder returns as a token of a scalar.
+	// content holds members, elements, or the token that json.Decoder returns for a scalar.
 	content any
 }
 
-// members are those of a JSON object, in the order of the text.
+// members holds the members of a JSON object, in document order.
 type members []member
 
 type member struct {
@@ -25,10 +25,10 @@
 
 type elements []*value
 
-// parse parses a JSON text that holds one value. Its error says what is wrong with the syntax.
+// parse parses a JSON text that consists of one value. Its error describes the first syntax error.
 func parse(text []byte) (*value, error) {
 	if err := json.Unmarshal(text, new(any)); err != nil {
-		var mistyped *json.UnmarshalTypeError // a number that no float64 can hold; it is reported with its path
+		var mistyped *json.UnmarshalTypeError // a number out of range for float64, which checkType reports with its path
 		if !errors.As(err, &mistyped) {
 			return nil, err
 		}
@@ -47,12 +47,12 @@
 	return 1 + bytes.Count(text[:min(int(syntax.Offset), len(text))], []byte("\n"))
 }
 
-// parser reads values from the tokens of a text that is sound JSON.
+// parser builds values from the tokens of a text that is known to be valid JSON.
 type parser struct {
 	text    []byte
 	decoder *json.Decoder
-	line    int // of the end of the last token
-	offset  int // of the end of the last token
+	line    int // line number of the end of the last token
+	offset  int // byte offset of the end of the last token
 }
 
 func (p *parser) token() (json.Token, error) {
@@ -88,7 +88,7 @@
 		if err != nil {
 			return nil, err
 		}
-		name, _ := key.(string) // a key always is one
+		name, _ := key.(string) // the decoder returns every key as a string
 		line := p.line
 		content, err := p.value()
 		if err != nil {
@@ -96,7 +96,7 @@
 		}
 		list = append(list, member{key: name, line: line, value: content})
 	}
-	_, err := p.token() // the closing brace
+	_, err := p.token() // consumes the closing brace
 	return list, err
 }
 
@@ -109,6 +109,6 @@
 		}
 		list = append(list, element)
 	}
-	_, err := p.token() // the closing bracket
+	_, err := p.token() // consumes the closing bracket
 	return list, err
 }
--- a/internal/configcheck/gateway.go
+++ b/internal/configcheck/gateway.go
@@ -13,20 +13,21 @@
 	"springfield/internal/discovery"
 )
 
-// fewSockets is a limit on file descriptors under which hardly any connections are possible.
-const fewSockets = 64
+// minUsefulSockets is the lowest limit on file descriptors that does not cause a warning. A lower one leaves hardly any
+// descriptors for connections.
+const minUsefulSockets = 64
 
-// maxStartMS bounds plausible start times of endpoints, in milliseconds: the year 2109. The gateway takes later ones
-// for this one.
+// maxStartMS bounds the start times of endpoints, in Unix milliseconds. It lies in the year 2109. The gateway clamps
+// later start times to it.
 const maxStartMS = 1 << 42
 
-// checkNumbers reports numbers below zero, which nothing in a configuration may be.
+// checkNumbers reports negative numbers, which are invalid anywhere in a configuration.
 func (c *checker) checkNumbers(path string, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if field := v.Type().Field(i); field.IsExported() {
-				c.checkNumbers(memberPath(path, keyOf(v.Type(), field)), v.Field(i))
+				c.checkNumbers(memberPath(path, jsonKey(v.Type(), field)), v.Field(i))
 			}
 		}
 	case reflect.Slice:
@@ -44,16 +45,16 @@
 	}
 }
 
-// checkGateway checks what is not under settings.
+// checkGateway checks all values outside the settings object.
 func (c *checker) checkGateway(cfg *config.Config) {
 	if cfg.Name == "" {
-		c.warn("$.name", "is missing: a file of another gateway cannot be told apart when it is reloaded")
+		c.warn("$.name", "is missing: a reload cannot detect the file of another gateway")
 	}
 	c.checkListen(cfg.Listen)
-	c.checkRemote("$.discovery", cfg.Discovery)
+	c.checkRemoteAddress("$.discovery", cfg.Discovery)
 	c.checkSeed(cfg)
-	if sockets := cfg.Limits.Sockets; sockets > 0 && sockets < fewSockets {
-		c.warn("$.limits.sockets", "is %d, which leaves hardly any connections: want %d or more", sockets, fewSockets)
+	if sockets := cfg.Limits.Sockets; sockets > 0 && sockets < minUsefulSockets {
+		c.warn("$.limits.sockets", "is %d, which allows hardly any connections: want %d or more", sockets, minUsefulSockets)
 	}
 	c.checkKnown(&cfg.Known, cfg.Settings.Zones)
 }
@@ -69,14 +70,14 @@
 	case reason != "":
 		c.fail(path, "is %q: %s", address, reason)
 	case port == 0:
-		c.warn(path, "is %q: port 0 is another one at each start", address)
+		c.warn(path, "is %q: with port 0 the operating system selects a different port at each start", address)
 	case host == "":
-		c.warn(path, "is %q: without a host it listens on all addresses of the machine", address)
+		c.warn(path, "is %q: without a host the gateway listens on all addresses of the machine", address)
 	}
 }
 
-// checkRemote checks an address that the gateway connects to.
-func (c *checker) checkRemote(path, address string) {
+// checkRemoteAddress checks an address that the gateway connects to.
+func (c *checker) checkRemoteAddress(path, address string) {
 	if address == "" {
 		c.failMissing(path, "an address such as 127.0.0.1:8500")
 		return
@@ -91,12 +92,12 @@
 		c.fail(path, "is %q: nothing can listen on port 0", address)
 	default:
 		if _, err := netip.ParseAddr(host); err != nil {
-			c.warn(path, "is %q: a host name, which needs name resolution at each connection", address)
+			c.warn(path, "is %q: a host name, which has to be resolved for each connection", address)
 		}
 	}
 }
 
-// splitAddress splits an address into host and port. The reason says why it is none.
+// splitAddress splits an address into host and port. If the address is invalid, the reason says why.
 func splitAddress(address string) (host string, port uint64, reason string) {
 	colon := strings.LastIndexByte(address, ':')
 	if colon < 0 {
@@ -105,7 +106,7 @@
 	host, digits := address[:colon], address[colon+1:]
 	port, err := strconv.ParseUint(digits, 10, 16)
 	if err != nil {
-		return "", 0, "the port is no number from 1 to 65535"
+		return "", 0, "the port is not a number from 1 to 65535"
 	}
 	unbracketed, opened := strings.CutPrefix(host, "[")
 	unbracketed, closed := strings.CutSuffix(unbracketed, "]")
@@ -113,7 +114,7 @@
 	case opened != closed, strings.ContainsAny(unbracketed, "[]"):
 		return "", 0, "the brackets do not match"
 	case strings.ContainsAny(host, " \t/@"):
-		return "", 0, "the host has characters that no host has"
+		return "", 0, "the host has characters that are invalid in a host"
 	case !opened && strings.Contains(host, ":"):
 		return "", 0, "an IPv6 address needs brackets"
 	}
@@ -123,7 +124,7 @@
 func (c *checker) checkSeed(cfg *config.Config) {
 	const path = "$.seed"
 	if cfg.Seed == "" {
-		c.warn(path, "is missing: all gateways without a seed draw the same random numbers")
+		c.warn(path, "is missing: all gateways without a seed generate the same random numbers")
 		return
 	}
 	_, err := cfg.RandomSeed()
@@ -132,7 +133,7 @@
 	case errors.Is(err, strconv.ErrRange):
 		c.fail(path, "is %q, want at most 16 hexadecimal digits", cfg.Seed)
 	default:
-		c.fail(path, "is %q, want hexadecimal digits alone", cfg.Seed)
+		c.fail(path, "is %q, want hexadecimal digits only", cfg.Seed)
 	}
 }
 
@@ -140,51 +141,52 @@
 func (c *checker) checkKnown(list *discovery.EndpointList, zones []string) {
 	const path = "$.known"
 	if !c.has(path) {
-		return // the gateway asks discovery
+		return // the gateway starts without a list and gets it from discovery
 	}
 	if list.Servers == nil {
 		c.warn(path+".servers", "is missing: the list is ignored")
 	} else if !list.Full {
-		c.warn(path+".full", "is false: the list counts as complete only once discovery has sent it")
+		c.warn(path+".full", "is false: the gateway treats the list as incomplete until discovery has sent a full one")
 	}
 	first := map[string]int{}
 	for i := range list.Servers {
 		server, serverPath := &list.Servers[i], elementPath(path+".servers", i)
 		c.checkServer(server, serverPath, zones)
 		if server.ID == "" {
-			c.failMissing(serverPath+".id", "a name: the entry is skipped")
+			c.failMissing(serverPath+".id", "a name: the gateway ignores the entry")
 			continue
 		}
 		if earlier, ok := first[server.ID]; ok {
-			c.fail(serverPath+".id", "is %q, as is that of %s", server.ID, elementPath(path+".servers", earlier))
+			c.fail(serverPath+".id", "is %q, which is already the id of %s", server.ID,
+				elementPath(path+".servers", earlier))
 			continue
 		}
 		first[server.ID] = i
 	}
 }
 
-// checkServer checks an entry of the list but for its id.
+// checkServer checks all fields of a list entry except its id.
 func (c *checker) checkServer(server *discovery.Instance, path string, zones []string) {
 	const removed = "removed"
 	if server.State != removed {
-		c.checkRemote(path+".addr", server.Addr)
+		c.checkRemoteAddress(path+".addr", server.Addr)
 	}
 	switch server.State {
 	case "up", "draining":
 	case removed:
-		c.warn(path+".state", "is %q, which stands among changes alone", server.State)
+		c.warn(path+".state", "is %q, which is meaningful only in changes of a list", server.State)
 	case "":
-		c.failMissing(path+".state", `"up" or "draining"; the endpoint counts as draining`)
+		c.failMissing(path+".state", `"up" or "draining"; the endpoint is treated as draining`)
 	default:
-		c.fail(path+".state", `is %q, want "up" or "draining"; the endpoint counts as draining`, server.State)
+		c.fail(path+".state", `is %q, want "up" or "draining"; the endpoint is treated as draining`, server.State)
 	}
 	if len(zones) > 0 && !slices.Contains(zones, server.Zone) {
-		c.warn(path+".zone", "is %q, which is none of $.settings.Zones", server.Zone)
+		c.warn(path+".zone", "is %q, which is not in $.settings.Zones", server.Zone)
 	}
 	if c.has(path+".weight") && server.Weight == 0 {
-		c.warn(path+".weight", "is 0, which counts as 1")
+		c.warn(path+".weight", "is 0, which is treated as 1")
 	}
 	if server.StartedMS > maxStartMS {
-		c.warn(path+".started_ms", "is %d, which is no Unix time in milliseconds", server.StartedMS)
+		c.warn(path+".started_ms", "is %d, which is not a plausible Unix time in milliseconds", server.StartedMS)
 	}
 }
--- a/internal/configcheck/settings.go
+++ b/internal/configcheck/settings.go
@@ -10,7 +10,7 @@
 
 const settingsPath = "$.settings"
 
-// checkSettings checks the rules of the deployment.
+// checkSettings checks the settings of the deployment.
 func (c *checker) checkSettings(s *settings.Settings) {
 	if !c.has(settingsPath) {
 		c.failMissing(settingsPath, "the settings of the deployment")
@@ -25,7 +25,7 @@
 	c.checkSafety(&s.Safety)
 }
 
-// checkChoice checks a value that must be one of a few.
+// checkChoice checks a string that must be one of the given choices.
 func (c *checker) checkChoice(path, chosen string, optional bool, choices ...string) {
 	switch {
 	case slices.Contains(choices, chosen):
@@ -36,7 +36,7 @@
 	}
 }
 
-// alternatives joins choices as in "a", "b" or "c".
+// alternatives formats choices as a list such as "a", "b" or "c".
 func alternatives(choices []string) string {
 	quoted := make([]string, len(choices))
 	for i, choice := range choices {
@@ -49,7 +49,7 @@
 	return strings.Join(quoted[:last], ", ") + " or " + quoted[last]
 }
 
-// checkFleet checks the counts of gateways and zones, and this gateway's place among them.
+// checkFleet checks the numbers of gateways and zones, and this gateway's own index and zone.
 func (c *checker) checkFleet(s *settings.Settings) {
 	switch path := settingsPath + ".Balancers"; {
 	case s.Balancers == 0 && !c.has(path):
@@ -65,7 +65,7 @@
 	}
 }
 
-// checkNames checks that names are not empty and differ. The function gives the path of a name.
+// checkNames checks that names are unique and not empty. The pathOf function returns the path of the name at an index.
 func (c *checker) checkNames(listPath string, names []string, pathOf func(int) string) {
 	for i, name := range names {
 		if name == "" {
@@ -73,7 +73,7 @@
 			continue
 		}
 		if earlier := slices.Index(names[:i], name); earlier >= 0 {
-			c.fail(pathOf(i), "is %q, as is that of %s", name, elementPath(listPath, earlier))
+			c.fail(pathOf(i), "is %q, which is already the name of %s", name, elementPath(listPath, earlier))
 		}
 	}
 }
@@ -81,7 +81,7 @@
 func (c *checker) checkClasses(s *settings.Settings) {
 	const path = settingsPath + ".Classes"
 	if len(s.Classes) == 0 {
-		c.failMissing(path, "one class or more")
+		c.failMissing(path, "at least one class")
 		return
 	}
 	names := make([]string, len(s.Classes))
@@ -89,12 +89,12 @@
 		class, classPath := &s.Classes[i], elementPath(path, i)
 		names[i] = class.Name
 		if strings.Contains(class.Name, "/") {
-			c.fail(classPath+".Name", "is %q: a class is one part of a path", class.Name)
+			c.fail(classPath+".Name", "is %q: a class name is one segment of a URL path", class.Name)
 		}
 		c.checkClassTimes(class, classPath)
 		c.checkRepeat(class, classPath)
 		if class.Value == 0 {
-			c.warn(classPath+".Value", "is 0 or missing: requests of the class count for nothing")
+			c.warn(classPath+".Value", "is 0 or missing: requests of the class have no value")
 		}
 		if class.LateValue > 1 {
 			c.fail(classPath+".LateValue", "is %g, want a share from 0 to 1", class.LateValue)
@@ -106,15 +106,15 @@
 func (c *checker) checkClassTimes(class *settings.Class, path string) {
 	switch limit := path + ".HardLimitMs"; {
 	case class.HardLimitMs == 0 && !c.has(limit):
-		c.failMissing(limit, "how long a client waits")
+		c.failMissing(limit, "the time that a client waits")
 	case class.HardLimitMs == 0:
-		c.fail(limit, "is 0: no client waits for an answer")
+		c.fail(limit, "is 0: no client would wait for a response")
 	case class.AimMs > class.HardLimitMs && class.HardLimitMs > 0:
-		c.warn(path+".AimMs", "is %g, which is past HardLimitMs, %g", class.AimMs, class.HardLimitMs)
+		c.warn(path+".AimMs", "is %g, which exceeds HardLimitMs, %g", class.AimMs, class.HardLimitMs)
 	}
 }
 
-// checkRepeat checks what a class says about repeats of its requests.
+// checkRepeat checks whether and how requests of a class may be repeated.
 func (c *checker) checkRepeat(class *settings.Class, path string) {
 	c.checkChoice(path+".Repeat", class.Repeat, false,
 		settings.RepeatIdempotent, settings.RepeatDeduplicated, settings.RepeatAtMostOnce)
@@ -123,7 +123,7 @@
 		return
 	}
 	if class.Group == "" {
-		c.warn(path+".Group", "is missing, which counts as %q", settings.GroupAll)
+		c.warn(path+".Group", "is missing, which is treated as %q", settings.GroupAll)
 	}
 	if class.KeyTTLMs == 0 {
 		c.warn(path+".KeyTtlMs", "is 0 or missing: no request of the class is repeated once it may have been executed")
@@ -133,7 +133,7 @@
 func (c *checker) checkPlans(plans []settings.Plan) {
 	const path = settingsPath + ".Contracts"
 	if len(plans) == 0 {
-		c.failMissing(path, "one plan or more: each request names one")
+		c.failMissing(path, "at least one plan: each request names a plan")
 		return
 	}
 	names := make([]string, len(plans))
@@ -149,19 +149,19 @@
 		c.warn(path+".Burst", "is 0 or missing: every request is over the quota")
 	}
 	if plan.UnitsPerS == 0 && plan.Burst > 0 {
-		c.warn(path+".Burst", "is %g without an effect: UnitsPerS is 0, which means no quota", plan.Burst)
+		c.warn(path+".Burst", "is %g but has no effect: UnitsPerS is 0, which means no quota", plan.Burst)
 	}
 	if plan.HardRate > 0 && plan.HardRate < plan.UnitsPerS {
-		c.warn(path+".HardRate", "is %g, a ceiling under the quota UnitsPerS, %g", plan.HardRate, plan.UnitsPerS)
+		c.warn(path+".HardRate", "is %g, a ceiling below the quota UnitsPerS, %g", plan.HardRate, plan.UnitsPerS)
 	}
 	if plan.HardRate > 0 && plan.CeilingBurst == 0 && plan.Tolerance == 0 {
-		c.warn(path+".CeilingBurst", "is 0 or missing, as is Tolerance: the ceiling lets no request through")
+		c.warn(path+".CeilingBurst", "is 0 or missing, as is Tolerance: the ceiling rejects every request")
 	}
 	if plan.HardRate == 0 && plan.CeilingBurst > 0 {
-		c.warn(path+".CeilingBurst", "is %g without an effect: HardRate is 0, which means no ceiling", plan.CeilingBurst)
+		c.warn(path+".CeilingBurst", "is %g but has no effect: HardRate is 0, which means no ceiling", plan.CeilingBurst)
 	}
 	if plan.Pays == 0 {
-		c.warn(path+".Pays", "is 0 or missing: requests of the plan count for nothing")
+		c.warn(path+".Pays", "is 0 or missing: requests of the plan have no value")
 	}
 	if plan.OverWorth > 1 {
 		c.fail(path+".OverWorth", "is %g, want a share from 0 to 1", plan.OverWorth)
@@ -197,7 +197,7 @@
 		c.fail(path+".ColdFrom", "is %g, want a share from 0 to 1", safety.ColdFrom)
 	}
 	if safety.WarmWithinMs == 0 {
-		return // endpoints have all of their capacity at once
+		return // endpoints have no slow start
 	}
 	if safety.FallMultiple == 0 {
 		c.warn(path+".FallMultiple", "is 0 or missing, though WarmWithinMs is %g", safety.WarmWithinMs)
--- a/internal/configcheck/types.go
+++ b/internal/configcheck/types.go
@@ -12,8 +12,8 @@
 	"springfield/internal/settings"
 )
 
-// ignoredKeys are the keys of the operators' pages that the gateway has no use for, without indices. What they contain
-// is not checked.
+// ignoredKeys lists the paths, without indices, of documented keys that the gateway ignores. Their values are not
+// checked.
 var ignoredKeys = []string{
 	"$.counter",
 	"$.limits.cores",
@@ -34,13 +34,13 @@
 
 var indexPattern = regexp.MustCompile(`\[\d+\]`)
 
-// checkType checks that a value can be decoded into a Go type as encoding/json does it, and notes its line and those of
-// all values within.
+// checkType checks that encoding/json can decode a value into a Go type. It records the lines of the value and of all
+// values inside it.
 func (c *checker) checkType(v *value, path string, target reflect.Type) {
 	c.lines[path] = v.line
 	if v.content == nil {
-		if target.Kind() != reflect.Slice { // null is how Go encodes an empty list
-			c.warn(path, "null counts as missing")
+		if target.Kind() != reflect.Slice { // encoding/json writes a nil slice as null
+			c.warn(path, "null is treated as missing")
 		}
 		return
 	}
@@ -57,28 +57,28 @@
 func (c *checker) checkObject(v *value, path string, target reflect.Type) {
 	list, ok := v.content.(members)
 	if !ok {
-		c.mistyped(v, path, "an object")
+		c.failType(v, path, "an object")
 		return
 	}
 	seen := map[string]bool{}
 	for _, m := range list {
-		field, known := fieldOf(target, m.key)
+		field, known := findField(target, m.key)
 		key := m.key
 		if known {
-			key = keyOf(target, field)
+			key = jsonKey(target, field)
 		}
-		inner := memberPath(path, key)
+		childPath := memberPath(path, key)
 		if seen[key] {
-			c.lines[inner] = m.line
-			c.warn(inner, "stands twice: the later one counts")
+			c.lines[childPath] = m.line
+			c.warn(childPath, "occurs twice: the last value is used")
 		}
 		seen[key] = true
 		switch {
 		case known:
-			c.checkType(m.value, inner, field.Type)
-		case !slices.Contains(ignoredKeys, indexPattern.ReplaceAllString(inner, "[]")):
-			c.lines[inner] = m.line
-			c.warn(inner, "unknown key, ignored")
+			c.checkType(m.value, childPath, field.Type)
+		case !slices.Contains(ignoredKeys, indexPattern.ReplaceAllString(childPath, "[]")):
+			c.lines[childPath] = m.line
+			c.warn(childPath, "unknown key, ignored")
 		}
 	}
 }
@@ -86,7 +86,7 @@
 func (c *checker) checkArray(v *value, path string, target reflect.Type) {
 	list, ok := v.content.(elements)
 	if !ok {
-		c.mistyped(v, path, "an array")
+		c.failType(v, path, "an array")
 		return
 	}
 	for i, element := range list {
@@ -98,11 +98,11 @@
 	switch kind := target.Kind(); kind {
 	case reflect.String:
 		if _, ok := v.content.(string); !ok {
-			c.mistyped(v, path, "a string")
+			c.failType(v, path, "a string")
 		}
 	case reflect.Bool:
 		if _, ok := v.content.(bool); !ok {
-			c.mistyped(v, path, "true or false")
+			c.failType(v, path, "true or false")
 		}
 	case reflect.Float64:
 		c.checkNumber(v, path, "a number", func(text string) error {
@@ -115,7 +115,7 @@
 			return err
 		})
 	case reflect.Int, reflect.Int64:
-		c.checkNumber(v, path, "a whole number without point and exponent", func(text string) error {
+		c.checkNumber(v, path, "a whole number without a decimal point or exponent", func(text string) error {
 			_, err := strconv.ParseInt(text, 10, target.Bits())
 			return err
 		})
@@ -124,11 +124,11 @@
 	}
 }
 
-// checkNumber checks that a value is a number that the function can parse.
+// checkNumber checks that a value is a number that the parse function accepts.
 func (c *checker) checkNumber(v *value, path, want string, parse func(string) error) {
 	number, ok := v.content.(json.Number)
 	if !ok {
-		c.mistyped(v, path, want)
+		c.failType(v, path, want)
 		return
 	}
 	err := parse(number.String())
@@ -143,14 +143,14 @@
 	c.unusable[path] = true
 }
 
-func (c *checker) mistyped(v *value, path, want string) {
+func (c *checker) failType(v *value, path, want string) {
 	c.fail(path, "is %s, want %s", describe(v), want)
 	c.unusable[path] = true
 }
 
-// describe names the type of a value, and the value itself if it is short.
+// describe returns the JSON type of a value, with the value itself if it is short.
 func describe(v *value) string {
-	const longestQuoted = 40
+	const maxQuotedBytes = 40
 	switch content := v.content.(type) {
 	case members:
 		return "an object"
@@ -161,7 +161,7 @@
 	case bool:
 		return strconv.FormatBool(content)
 	case string:
-		if len(content) <= longestQuoted {
+		if len(content) <= maxQuotedBytes {
 			return "the string " + strconv.Quote(content)
 		}
 		return "a string"
@@ -170,26 +170,26 @@
 	}
 }
 
-// fieldOf returns the field that encoding/json decodes a key into.
-func fieldOf(target reflect.Type, key string) (reflect.StructField, bool) {
+// findField returns the struct field into which encoding/json decodes a key, if there is one.
+func findField(target reflect.Type, key string) (reflect.StructField, bool) {
 	for i := range target.NumField() {
 		field := target.Field(i)
-		if field.IsExported() && strings.EqualFold(keyOf(target, field), key) {
+		if field.IsExported() && strings.EqualFold(jsonKey(target, field), key) {
 			return field, true
 		}
 	}
 	return reflect.StructField{}, false
 }
 
-// settingsPackage holds the types whose keys are spelled as their fields are.
-var settingsPackage = reflect.TypeFor[settings.Settings]().PkgPath()
+// settingsPackagePath is the package whose types use their field names, unchanged, as JSON keys.
+var settingsPackagePath = reflect.TypeFor[settings.Settings]().PkgPath()
 
-// keyOf returns the key of a type's field in the spelling of the operators' pages; encoding/json takes any case.
-func keyOf(owner reflect.Type, field reflect.StructField) string {
+// jsonKey returns the JSON key of a type's field in its documented spelling. Decoding accepts keys in any case.
+func jsonKey(owner reflect.Type, field reflect.StructField) string {
 	if name, _, _ := strings.Cut(field.Tag.Get("json"), ","); name != "" {
 		return name
 	}
-	if owner.PkgPath() == settingsPackage {
+	if owner.PkgPath() == settingsPackagePath {
 		return field.Name
 	}
 	return strings.ToLower(field.Name)
