--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,5 +1,6 @@
-// Package counters counts why connections close, attempts end and requests are refused. The counts are shown once, at
-// the end of the process; nothing on the wire tells of them. At the debug level each event is also logged as it occurs.
+// Package counters counts events such as the reasons why connections close, attempts end and requests are refused. The
+// gateway logs the counts when it exits and exposes them nowhere else. At the debug level each event is also logged as
+// it occurs.
 package counters
 
 import (
@@ -8,42 +9,42 @@
 	"sync/atomic"
 )
 
-// Event names something that is counted.
+// Event identifies a counted event.
 type Event uint8
 
-// The events.
+// The events that are counted.
 const (
 	ConnectionAccepted Event = iota
 	AcceptFailed
-	CloseEvicted       // a connection of a client makes room for another
-	CloseDrained       // the gateway shuts down
-	CloseByTimeout     // idle, or a request on it did not become complete
-	CloseClientGone    // the client has gone
-	CloseLast          // after its last response
-	AttemptOK          // an attempt was answered with 200
-	AttemptServerError // answered otherwise
-	AttemptRejected    // the endpoint did not run it
+	CloseEvicted       // a client connection was closed to make room for another
+	CloseDrained       // a client connection was closed because the gateway shuts down
+	CloseByTimeout     // a client connection was idle too long, or a request on it did not complete in time
+	CloseClientGone    // the client closed the connection
+	CloseLast          // a client connection was closed after its last response
+	AttemptOK          // the endpoint responded with status 200
+	AttemptServerError // the endpoint responded with another status
+	AttemptRejected    // the endpoint rejected the attempt without executing it
 	AttemptTimedOut
 	AttemptConnectFailed
 	AttemptReset
 	AttemptCancelled
 	AttemptNotSent
 	AttemptLocalFailure
-	SendRefusedAborted  // an attempt was not sent since it was aborted,
-	SendRefusedEndpoint // since its endpoint drains or has gone,
-	SendRefusedDeadline // since its time was up,
-	SendRefusedClient   // or since its client has gone
+	SendRefusedAborted  // an attempt was not sent because it was aborted
+	SendRefusedEndpoint // an attempt was not sent because its endpoint is draining or removed
+	SendRefusedDeadline // an attempt was not sent because its deadline had passed
+	SendRefusedClient   // an attempt was not sent because its client had disconnected
 	RequestServed
 	RequestRejected
 	RequestFailed
-	RequestAbandoned // its client has gone
+	RequestAbandoned // the client disconnected before the response
 	RequestInvalid
 	ListPublished
 	WatchEnded
 	eventCount
 )
 
-var names = [eventCount]string{
+var eventNames = [eventCount]string{
 	ConnectionAccepted: "connection_accepted", AcceptFailed: "accept_failed",
 	CloseEvicted: "close_evicted", CloseDrained: "close_drained", CloseByTimeout: "close_by_timeout",
 	CloseClientGone: "close_client_gone", CloseLast: "close_last",
@@ -59,11 +60,12 @@
 }
 
 // String returns the name of the event.
-func (e Event) String() string { return names[e] }
+func (e Event) String() string { return eventNames[e] }
 
 var counts [eventCount]atomic.Uint64
 
-// Count counts an event, and logs it at the debug level with the id of the client's request, if there is one.
+// Count increments the counter of an event. At the debug level it also logs the event with the ID of the client's
+// request, which may be empty.
 func Count(event Event, requestID string) {
 	counts[event].Add(1)
 	if slog.Default().Enabled(context.Background(), slog.LevelDebug) {
@@ -71,14 +73,14 @@
 	}
 }
 
-// Of returns how often an event has occurred.
-func Of(event Event) uint64 { return counts[event].Load() }
+// Value returns the number of times an event has occurred.
+func Value(event Event) uint64 { return counts[event].Load() }
 
-// Summary returns the counts of all events that have occurred, as attributes of a log line.
+// Summary returns the nonzero counts as alternating keys and values for a log line.
 func Summary() []any {
 	var attributes []any
 	for event := range eventCount {
-		if count := Of(event); count > 0 {
+		if count := Value(event); count > 0 {
 			attributes = append(attributes, event.String(), count)
 		}
 	}
--- a/internal/counters/counters_test.go
+++ b/internal/counters/counters_test.go
@@ -5,20 +5,21 @@
 	"testing"
 )
 
-// Each event has a name of its own, and those that occur are in the summary.
+// A missing or duplicate name would make a count unreadable in the summary, which must contain every event that has
+// occurred.
 func TestEventsHaveNamesAndCounts(t *testing.T) {
 	seen := map[string]bool{}
 	for event := range eventCount {
 		if event.String() == "" || seen[event.String()] {
-			t.Errorf("event %d is called %q", event, event)
+			t.Errorf("event %d has the empty or duplicate name %q", event, event)
 		}
 		seen[event.String()] = true
 	}
-	before := Of(AttemptReset)
+	before := Value(AttemptReset)
 	Count(AttemptReset, "a")
 	summary := Summary()
-	place := slices.Index(summary, any(AttemptReset.String()))
-	if place < 0 || summary[place+1] != before+1 {
+	index := slices.Index(summary, any(AttemptReset.String()))
+	if index < 0 || summary[index+1] != before+1 {
 		t.Errorf("the summary is %v", summary)
 	}
 }
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -1,5 +1,5 @@
-// Package faultinjection makes system calls of a gateway fail as a control file says. Only builds of cmd/gateway with
-// the build tag faultinjection link it, for soaks over real processes.
+// Package faultinjection makes system calls of a gateway fail as a control file specifies. Only builds of cmd/gateway
+// with the build tag faultinjection link it, for soaks with real processes.
 package faultinjection
 
 import (
@@ -12,17 +12,18 @@
 	"time"
 )
 
-// ControlVariable names, in the environment of a gateway, the control file. It holds lines of an operation and an
-// error, such as "accept ENOBUFS"; an operation that no line names succeeds. It may change at any time.
+// ControlVariable is the environment variable that holds the path of the control file. Each line of the file names an
+// operation and an error, such as "accept ENOBUFS". An operation without a line succeeds. The file may change at any
+// time.
 const ControlVariable = "TEST_FAULTS"
 
-// The operations that can be made to fail.
+// The operations that can fail by injection.
 const (
 	Accept  = "accept"
 	Connect = "connect"
 )
 
-// Errors are the errors by the names that the control file uses.
+// Errors maps the error names of the control file to error numbers.
 var Errors = map[string]syscall.Errno{
 	"ECONNABORTED":  syscall.ECONNABORTED,
 	"EMFILE":        syscall.EMFILE,
@@ -36,20 +37,20 @@
 	"EADDRNOTAVAIL": syscall.EADDRNOTAVAIL,
 }
 
-// Injector makes operations fail.
-type Injector struct{ control string }
+// Injector makes operations fail as its control file specifies.
+type Injector struct{ controlFile string }
 
-// New returns an injector that follows the control file; without one nothing fails.
-func New(control string) *Injector { return &Injector{control: control} }
+// New returns an injector that follows the control file. With an empty path it injects no failures.
+func New(control string) *Injector { return &Injector{controlFile: control} }
 
-// failure returns the error that an operation is to fail with now, or nil.
+// failure returns the error with which an operation has to fail now, or nil.
 func (i *Injector) failure(operation string) error {
-	if i.control == "" {
+	if i.controlFile == "" {
 		return nil
 	}
-	text, err := os.ReadFile(i.control)
+	text, err := os.ReadFile(i.controlFile)
 	if err != nil {
-		return nil // there is no file yet
+		return nil // the control file does not exist yet
 	}
 	for line := range strings.Lines(string(text)) {
 		name, failure, _ := strings.Cut(strings.TrimSpace(line), " ")
@@ -60,11 +61,11 @@
 	return nil
 }
 
-// Listener wraps the listener for clients.
+// Listener wraps the TCP listener for clients so that Accept can fail.
 func (i *Injector) Listener(listener net.Listener) (net.Listener, error) {
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
-		return nil, fmt.Errorf("faultinjection: a listener of type %T", listener)
+		return nil, fmt.Errorf("faultinjection: listener of type %T is not a TCP listener", listener)
 	}
 	return &failingListener{TCPListener: tcp, injector: i}, nil
 }
@@ -74,7 +75,7 @@
 	injector *Injector
 }
 
-// Accept accepts a connection or fails.
+// Accept returns an injected failure or accepts a connection.
 func (l *failingListener) Accept() (net.Conn, error) {
 	if err := l.injector.failure(Accept); err != nil {
 		time.Sleep(time.Millisecond)
@@ -83,22 +84,23 @@
 	return l.TCPListener.Accept()
 }
 
-// Late stands in the place of an error and lets a call of connect succeed only after lateConnect.
+// Late may stand in place of an error name for Connect. It delays each dial by connectDelay and does not make it fail.
 const Late = "LATE"
 
-const lateConnect = time.Second
+const connectDelay = time.Second
 
-// isLate reports whether connections are to come up late now.
-func (i *Injector) isLate() bool {
-	text, err := os.ReadFile(i.control)
+// isConnectDelayed reports whether dials have to be delayed now.
+func (i *Injector) isConnectDelayed() bool {
+	text, err := os.ReadFile(i.controlFile)
 	return err == nil && strings.Contains(string(text), Connect+" "+Late)
 }
 
-// Dial connects to an endpoint, late or not, or fails. It has the signature of net.Dialer.DialContext.
+// Dial connects to an endpoint, after an injected delay or with an injected failure if the control file specifies one.
+// It has the signature of net.Dialer.DialContext.
 func (i *Injector) Dial(ctx context.Context, network, address string) (net.Conn, error) {
-	if i.isLate() {
+	if i.isConnectDelayed() {
 		select {
-		case <-time.After(lateConnect):
+		case <-time.After(connectDelay):
 		case <-ctx.Done():
 			return nil, &net.OpError{Op: "dial", Net: network, Err: ctx.Err()}
 		}
--- a/internal/faultinjection/faultinjection_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -13,15 +13,15 @@
 	"springfield/internal/faultinjection"
 )
 
-// Operations fail as the control file says, and succeed when it says nothing.
-func TestOperationsFailAsControlled(t *testing.T) {
+// An operation must fail with the error that the control file names, and must succeed without one.
+func TestOperationsFailAsControlFileSays(t *testing.T) {
 	control := filepath.Join(t.TempDir(), "faults")
 	injector := faultinjection.New(control)
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = inner.Close() }) // the test fails before if it matters
+	t.Cleanup(func() { _ = inner.Close() }) // a broken listener has already failed the test
 	listener, err := injector.Listener(inner)
 	if err != nil {
 		t.Fatal(err)
@@ -34,22 +34,22 @@
 		wantConnect := map[bool]error{strings.Contains(text, "EMFILE"): syscall.EMFILE,
 			strings.Contains(text, "ENFILE"): syscall.ENFILE}[true]
 		if !errors.Is(err, wantConnect) || (conn == nil) != (wantConnect != nil) {
-			t.Errorf("%q: connect gives %v, %v", text, conn, err)
+			t.Errorf("%q: Dial returned %v, %v", text, conn, err)
 		}
 		if strings.Contains(text, "ENOBUFS") {
 			if _, err := listener.Accept(); !errors.Is(err, syscall.ENOBUFS) {
-				t.Errorf("%q: accept gives %v", text, err)
+				t.Errorf("%q: Accept returned error %v, want %v", text, err, syscall.ENOBUFS)
 			}
 		} else if conn != nil {
 			if _, err := listener.Accept(); err != nil {
-				t.Errorf("%q: accept gives %v", text, err)
+				t.Errorf("%q: Accept returned error %v", text, err)
 			}
 		}
 	}
 }
 
-// The production build of the gateway links none of this.
-func TestProductionBuildHasNoFaults(t *testing.T) {
+// A production build of the gateway must not link the package, or an environment variable could inject faults.
+func TestProductionBuildExcludesFaultInjection(t *testing.T) {
 	const module = "springfield/internal/faultinjection"
 	for _, test := range []struct {
 		tags string
@@ -60,7 +60,7 @@
 			t.Fatal(err)
 		}
 		if got := strings.Contains(string(output), module+"\n"); got != test.want {
-			t.Errorf("tags %q: linked %v", test.tags, got)
+			t.Errorf("tags %q: linked is %v, want %v", test.tags, got, test.want)
 		}
 	}
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant counts and logs violations of the rules that the gateway must never break. The guards themselves
-// stand where the code acts: each asks whether an action is allowed, and reports here when it has to prevent one that
-// the rest of the program should not have asked for.
+// Package invariant counts and logs violations of the rules that the gateway must never break. The checks are located
+// where the actions are carried out. Each of them prevents a forbidden action and reports it here, because the rest of
+// the program should not have requested it.
 package invariant
 
 import (
@@ -9,15 +9,15 @@
 	"sync/atomic"
 )
 
-// Rule names an invariant.
+// Rule identifies an invariant.
 type Rule uint8
 
-// The rules.
+// The invariants that are checked.
 const (
-	Sending   Rule = iota // nothing is sent for a client that has gone, past a deadline or to an endpoint that drains
+	Sending   Rule = iota // no attempt is sent after its client left, past its deadline or to a draining endpoint
 	Repeating             // a request runs once, unless its class allows repeats, and in one attempt at a time
-	Closing               // a request that was read gets an answer before its connection closes
-	Starting              // a request begins only where it can be answered
+	Closing               // a request that was read gets a response before its connection closes
+	Starting              // a request starts only if it can be answered
 	ruleCount
 )
 
@@ -29,7 +29,7 @@
 // Violation is a broken invariant.
 type Violation struct {
 	Rule      Rule
-	RequestID string // of the client's request, if it is known
+	RequestID string // ID of the client's request, or "" if it is unknown
 	Detail    string
 }
 
@@ -39,27 +39,27 @@
 }
 
 var (
-	counts          [ruleCount]atomic.Uint64
-	panicOnViolated atomic.Bool
+	counts           [ruleCount]atomic.Uint64
+	panicOnViolation atomic.Bool
 )
 
-// PanicOnViolation makes violations end the process. Tests turn it on.
-func PanicOnViolation() { panicOnViolated.Store(true) }
+// PanicOnViolation makes each violation panic. Tests enable it.
+func PanicOnViolation() { panicOnViolation.Store(true) }
 
-// Violated records a violation.
+// Violated counts and logs a violation. It panics if PanicOnViolation has been called.
 func Violated(rule Rule, requestID, detail string) {
 	counts[rule].Add(1)
 	violation := &Violation{Rule: rule, RequestID: requestID, Detail: detail}
 	slog.Error("invariant violated", "rule", rule.String(), "request", requestID, "detail", detail)
-	if panicOnViolated.Load() {
+	if panicOnViolation.Load() {
 		panic(violation)
 	}
 }
 
-// Violations returns how often a rule has been violated.
+// Violations returns the number of violations of a rule.
 func Violations(rule Rule) uint64 { return counts[rule].Load() }
 
-// Total returns how many violations there were of all rules.
+// Total returns the number of violations of all rules.
 func Total() (total uint64) {
 	for rule := range ruleCount {
 		total += Violations(rule)
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -7,7 +7,7 @@
 	"springfield/internal/invariant"
 )
 
-// A violation is counted, and ends a test.
+// A violation must be counted and must panic in tests, or it would go unnoticed there.
 func TestViolationIsCountedAndPanics(t *testing.T) {
 	before, total := invariant.Violations(invariant.Closing), invariant.Total()
 	invariant.PanicOnViolation()
@@ -21,5 +21,5 @@
 			t.Error("the violation is not counted")
 		}
 	}()
-	invariant.Violated(invariant.Closing, "a", "planted")
+	invariant.Violated(invariant.Closing, "a", "violation of the test")
 }
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -1,5 +1,5 @@
-// Package logging keeps the gateway's log from affecting its work. A log that is read slowly, not at all, or whose
-// reader has gone costs log lines; it delays nobody who logs.
+// Package logging provides a log writer that never blocks. If the reader of the log is slow, blocked or gone, log lines
+// are dropped and the gateway continues to serve requests.
 package logging
 
 import (
@@ -10,53 +10,54 @@
 	"time"
 )
 
-// queueCapacity is the most lines that wait to be written. They come in bursts at most; the memory of the queue stays
-// small against the limits of a deployment.
+// queueCapacity is the maximum number of lines that wait to be written. It absorbs bursts, and with maxLineBytes it
+// keeps the memory of the queue small compared with the memory limit of a gateway.
 const queueCapacity = 256
 
-// maxLineBytes bounds a line. Errors quote what clients and discovery have sent, so that lines could have any length.
+// maxLineBytes bounds the length of a line. Errors quote input from clients and discovery, so a line could otherwise
+// have any length.
 const maxLineBytes = 4 << 10
 
-// Writer writes lines to an output from a goroutine of its own. Write never blocks and never fails: lines that find
-// the queue full, and lines that the output does not take, are dropped and counted.
+// Writer writes lines to an output from its own goroutine. Write never blocks and never fails. Lines that arrive while
+// the queue is full, and lines that the output fails to write, are dropped and counted.
 type Writer struct {
 	output  io.Writer
 	lines   chan []byte
 	flushes chan chan struct{}
 
-	dropped  atomic.Uint64
-	reported uint64 // drops that the log tells already; owned by the goroutine of run
-	start    sync.Once
+	dropped       atomic.Uint64
+	reportedDrops uint64 // number of drops that the log already reports; only the run goroutine uses it
+	startOnce     sync.Once
 }
 
-// NewWriter returns a writer of lines to the output. Its goroutine starts with the first line and runs until the
+// NewWriter returns a Writer for the output. Its goroutine starts with the first line or flush and runs until the
 // process ends.
 func NewWriter(output io.Writer) *Writer {
 	return &Writer{output: output, lines: make(chan []byte, queueCapacity), flushes: make(chan chan struct{})}
 }
 
-// Write queues one line, which ends with a line feed. It always reports success.
+// Write queues one line, which must end with a line feed. It always reports success.
 func (w *Writer) Write(line []byte) (int, error) {
-	w.start.Do(func() { go w.run() })
-	kept := append([]byte(nil), line[:min(len(line), maxLineBytes)]...)
+	w.startOnce.Do(func() { go w.run() })
+	queued := append([]byte(nil), line[:min(len(line), maxLineBytes)]...)
 	if len(line) > maxLineBytes {
-		kept[maxLineBytes-1] = '\n'
+		queued[maxLineBytes-1] = '\n'
 	}
 	select {
-	case w.lines <- kept:
+	case w.lines <- queued:
 	default:
 		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines have been lost so far.
+// Dropped returns the number of lines dropped so far.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Flush waits until all lines that were queued before have been written or dropped, for the given time at most. It
-// reports whether they have.
+// Flush waits until all lines queued before the call have been written or dropped, or until the timeout expires. It
+// reports whether it finished before the timeout.
 func (w *Writer) Flush(timeout time.Duration) bool {
-	w.start.Do(func() { go w.run() })
+	w.startOnce.Do(func() { go w.run() })
 	expired := time.NewTimer(timeout)
 	defer expired.Stop()
 	flushed := make(chan struct{})
@@ -79,25 +80,25 @@
 		case line := <-w.lines:
 			w.write(line)
 		case flushed := <-w.flushes:
-			w.drain()
+			w.drainQueue()
 			close(flushed)
 		}
 	}
 }
 
-// drain writes the lines that are queued now.
-func (w *Writer) drain() {
+// drainQueue writes the lines that are currently queued.
+func (w *Writer) drainQueue() {
 	for range len(w.lines) {
 		w.write(<-w.lines)
 	}
 }
 
-// write writes a line, and before it how many were lost since the line before.
+// write writes a line. If lines have been dropped since the last notice, it first writes a notice with their number.
 func (w *Writer) write(line []byte) {
-	if dropped := w.dropped.Load(); dropped > w.reported {
-		notice := fmt.Sprintf("level=WARN msg=\"log lines dropped\" count=%d\n", dropped-w.reported)
+	if dropped := w.dropped.Load(); dropped > w.reportedDrops {
+		notice := fmt.Sprintf("level=WARN msg=\"log lines dropped\" count=%d\n", dropped-w.reportedDrops)
 		if _, err := io.WriteString(w.output, notice); err == nil {
-			w.reported = dropped
+			w.reportedDrops = dropped
 		}
 	}
 	if _, err := w.output.Write(line); err != nil {
--- a/internal/logging/writer_test.go
+++ b/internal/logging/writer_test.go
@@ -10,10 +10,10 @@
 	"springfield/internal/testkit"
 )
 
-// gatedOutput blocks each write until the test lets it through.
+// gatedOutput blocks each write until the test supplies its result.
 type gatedOutput struct {
-	writing chan struct{} // gets a value as each write begins
-	gate    chan error    // the result of each write
+	writing chan struct{} // receives a value at the start of each write
+	gate    chan error    // result of each blocked write
 	text    bytes.Buffer
 }
 
@@ -38,11 +38,12 @@
 func mustFlush(t *testing.T, w *Writer) {
 	t.Helper()
 	if !w.Flush(testkit.Timeout) {
-		t.Fatal("the lines were not written")
+		t.Fatal("the flush timed out")
 	}
 }
 
-// While the output blocks, lines beyond the queue are dropped, and the log tells how many once it goes on.
+// While the output blocks, lines that exceed the queue must be dropped without blocking the caller. Once the output
+// continues, the log must report how many were dropped.
 func TestLinesBeyondTheQueueAreDroppedAndCounted(t *testing.T) {
 	output := newGatedOutput()
 	w := NewWriter(output)
@@ -64,15 +65,15 @@
 	mustFlush(t, w)
 	text := output.text.String()
 	if !strings.Contains(text, fmt.Sprintf("msg=\"log lines dropped\" count=%d\n", excess)) {
-		t.Errorf("the drops are not told in %.200q", text)
+		t.Errorf("the number of dropped lines is missing in %.200q", text)
 	}
 	if !strings.HasSuffix(text, fmt.Sprintf("line %d\n", queueCapacity)) {
-		t.Errorf("the last line of the queue is missing in %.200q", text)
+		t.Errorf("the last queued line is missing in %.200q", text)
 	}
 }
 
-// A write that fails costs its line, and later lines are written.
-func TestFailedWriteCostsOneLine(t *testing.T) {
+// A failed write must drop only its own line, which the log then reports, and must not stop later lines.
+func TestFailedWriteDropsOneLine(t *testing.T) {
 	output := newGatedOutput()
 	w := NewWriter(output)
 	output.allow(1, errors.New("broken pipe"))
@@ -89,8 +90,8 @@
 	}
 }
 
-// A line of any length takes bounded memory and stays one line.
-func TestLongLineIsCut(t *testing.T) {
+// A line of any length must take bounded memory and must still end with a line feed.
+func TestLongLineIsTruncated(t *testing.T) {
 	var output bytes.Buffer
 	w := NewWriter(&output)
 	if _, err := w.Write(bytes.Repeat([]byte("x"), 3*maxLineBytes)); err != nil {
@@ -102,8 +103,8 @@
 	}
 }
 
-// Flush gives up on an output that blocks.
-func TestFlushGivesUp(t *testing.T) {
+// Flush must return at its timeout while the output blocks, or a blocked log would keep the process from exiting.
+func TestFlushTimesOut(t *testing.T) {
 	output := newGatedOutput()
 	w := NewWriter(output)
 	if _, err := w.Write([]byte("line\n")); err != nil {
--- a/internal/oserror/oserror_test.go
+++ b/internal/oserror/oserror_test.go
@@ -13,7 +13,7 @@
 	"springfield/internal/oserror"
 )
 
-func TestErrorsAreTold(t *testing.T) {
+func TestErrorsAreClassified(t *testing.T) {
 	wrap := func(errno syscall.Errno) error {
 		return fmt.Errorf("dial: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", errno)})
 	}
@@ -36,13 +36,14 @@
 	} {
 		if local, shortage := oserror.IsLocal(test.err), oserror.IsShortage(test.err); local != test.local ||
 			shortage != test.shortage {
-			t.Errorf("%v: local %v, shortage %v", test.err, local, shortage)
+			t.Errorf("%v: local is %v, shortage is %v", test.err, local, shortage)
 		}
 	}
 }
 
-// A shortage is waited out, another error is not, and neither goes on for ever.
-func TestRetryShortage(t *testing.T) {
+// A temporary shortage at startup must not fail the process. Other errors must be returned at once, and a permanent
+// shortage or an ended context must end the retries.
+func TestOnlyShortagesAreRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := 0
 		failing := func(failures int, err error) func() error {
