--- a/internal/settings/duration.go
+++ b/internal/settings/duration.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// maxMicroseconds bounds the result of Duration either way, to about 32 years.
+// maxMicroseconds bounds the absolute value of Duration's result to about 32 years.
 const maxMicroseconds = 1e15
 
-// MaxDeadline bounds what a request may state as its deadline where its class has none of its own.
+// MaxDeadline bounds the deadline that a request may state if its class has none.
 const MaxDeadline = time.Hour
 
-// Duration converts milliseconds, as the settings and the simulator give them, rounded to microseconds.
-// Numbers too large for a time are limited, and NaN gives 0.
+// Duration converts milliseconds, the unit of the settings and of the simulator, and rounds to microseconds. It clamps
+// values outside the range of about ±32 years and returns 0 for NaN.
 func Duration(ms float64) time.Duration {
 	switch us := ms * 1000; {
 	case math.IsNaN(us):
--- a/internal/settings/duration_test.go
+++ b/internal/settings/duration_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestDurationRoundsAndLimits(t *testing.T) {
+func TestDurationRoundsAndClamps(t *testing.T) {
 	const longest = 1e15 * time.Microsecond
 	for _, c := range []struct {
 		ms   float64
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -2,7 +2,8 @@
 
 import "springfield/policy"
 
-// PolicyConfig returns the policy's configuration for a deployment. The seed is for the policy's random numbers.
+// PolicyConfig returns the policy configuration for a deployment. The seed initializes the policy's random number
+// generator.
 func PolicyConfig(s *Settings, seed uint64) policy.Config {
 	config := policy.Config{
 		GatewayIndex: s.MyNumber,
@@ -43,7 +44,7 @@
 	}
 }
 
-// idempotency translates Class.Repeat. A value that is not known is treated as the strictest one.
+// idempotency converts Class.Repeat. It treats unknown values as the strictest one, which is non-idempotent.
 func idempotency(repeat string) policy.Idempotency {
 	switch repeat {
 	case RepeatIdempotent:
@@ -55,7 +56,7 @@
 	}
 }
 
-// keyScope translates Class.Group.
+// keyScope converts Class.Group. It treats unknown values as the whole fleet.
 func keyScope(group string) policy.KeyScope {
 	switch group {
 	case GroupZone:
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestKeysMatchInAnyCaseAndUnknownOnesAreIgnored(t *testing.T) {
+func TestKeysMatchInAnyCaseAndUnknownKeysAreIgnored(t *testing.T) {
 	var s Settings
 	text := `{"balancers":3,"NEWKEY":{"a":[1]},"classes":[{"KEYTTLMS":1500,"AimStretch":2}],"limits":{"sendcap":4}}`
 	if err := json.Unmarshal([]byte(text), &s); err != nil {
--- a/internal/testkit/client.go
+++ b/internal/testkit/client.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Response is a complete response, or the error that took its place.
+// Response is a complete response, or the error that occurred instead.
 type Response struct {
-	Status int // 0: the connection ended without a response
+	Status int // HTTP status, or 0 if the connection ended without a response
 	Body   string
 	Header http.Header
-	Close  bool // the last response on its connection
+	Close  bool // whether it is the last response on its connection
 	Err    error
 }
 
@@ -28,7 +28,7 @@
 }
 
 func readBody(response *http.Response) Response {
-	defer func() { _ = response.Body.Close() }() // read to its end or to the error that is returned
+	defer func() { _ = response.Body.Close() }() // ReadAll has already returned any error that matters
 	body, err := io.ReadAll(response.Body)
 	return Response{
 		Status: response.StatusCode,
@@ -39,10 +39,10 @@
 	}
 }
 
-// Client is a client's connection on which a test writes any bytes it likes.
+// Client is a client connection on which a test can write arbitrary bytes.
 type Client struct {
 	net.Conn
-	Reader *bufio.Reader // reads the connection
+	Reader *bufio.Reader // buffers reads from the connection
 	t      testing.TB
 }
 
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // fails when the test has closed it already
+	t.Cleanup(func() { _ = conn.Close() }) // fails if the test has already closed the connection
 	if err := conn.SetDeadline(time.Now().Add(Timeout)); err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 	return readBody(response)
 }
 
-// CloseWrite ends the client's sending and leaves its receiving open.
+// CloseWrite closes the sending direction of the connection and leaves the receiving direction open.
 func (c *Client) CloseWrite() {
 	c.t.Helper()
 	if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// Reset ends the connection with a TCP reset.
+// Reset closes the connection with a TCP reset.
 func (c *Client) Reset() {
 	c.t.Helper()
 	if err := c.Conn.(*net.TCPConn).SetLinger(0); err != nil {
--- a/internal/testkit/dial.go
+++ b/internal/testkit/dial.go
@@ -5,25 +5,25 @@
 	"net"
 )
 
-const dialCapacity = 100
+const dialEventCapacity = 100
 
-// DialGate holds each dial until the test opens the gate, also when the dial has been cancelled meanwhile.
+// DialGate blocks each dial until the test opens the gate, even if the dial's context is cancelled before.
 type DialGate struct {
-	Dialing   chan struct{} // gets a value as each dial begins
-	Cancelled chan struct{} // gets a value for each dial that is cancelled while it is held
+	Dialing   chan struct{} // receives a value at the start of each dial
+	Cancelled chan struct{} // receives a value for each dial that is cancelled while it is blocked
 	open      chan struct{}
 }
 
 // NewDialGate returns a closed gate.
 func NewDialGate() *DialGate {
 	return &DialGate{
-		Dialing:   make(chan struct{}, dialCapacity),
-		Cancelled: make(chan struct{}, dialCapacity),
+		Dialing:   make(chan struct{}, dialEventCapacity),
+		Cancelled: make(chan struct{}, dialEventCapacity),
 		open:      make(chan struct{}),
 	}
 }
 
-// Open lets all dials proceed, those that come later too.
+// Open lets all current and later dials proceed.
 func (g *DialGate) Open() { close(g.open) }
 
 // Dial connects once the gate is open. It has the signature of net.Dialer.DialContext.
--- a/internal/testkit/registry.go
+++ b/internal/testkit/registry.go
@@ -12,18 +12,18 @@
 
 const watchCapacity = 100
 
-// Registry is a discovery service whose watches a test drives.
+// Registry is a discovery service whose lists and watches a test controls.
 type Registry struct {
 	*httptest.Server
-	Watches <-chan chan<- string // one for each watch that has begun; it writes the lines sent to it
+	Watches <-chan chan<- string // receives a channel at the start of each watch; the watch sends the channel's lines
 
 	watches chan chan<- string
 	mu      sync.Mutex
 	version int
-	entries map[string]string // the entry of each endpoint by its id
+	entries map[string]string // entry of each endpoint by endpoint ID
 }
 
-// NewRegistry starts a discovery service that lists nothing yet. It stops at the end of the test.
+// NewRegistry starts a discovery service with an empty list. It stops at the end of the test.
 func NewRegistry(t testing.TB) *Registry {
 	watches := make(chan chan<- string, watchCapacity)
 	r := &Registry{Watches: watches, watches: watches, entries: map[string]string{}}
@@ -42,14 +42,14 @@
 	r.version = version
 }
 
-// SetEntry sets the entry of one endpoint in the full list; see EndpointLine.
+// SetEntry sets the entry of one endpoint in the full list. EndpointLine returns such an entry.
 func (r *Registry) SetEntry(id, entry string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.entries[id] = entry
 }
 
-// HoldLists makes the service accept requests for the full list but answer none until release is called.
+// HoldLists makes the service accept requests for the full list but delay its responses until release is called.
 func (r *Registry) HoldLists() (release func()) {
 	r.mu.Lock()
 	return r.mu.Unlock
@@ -71,7 +71,7 @@
 	for _, entry := range r.entries {
 		entries = append(entries, entry)
 	}
-	_, _ = io.WriteString(w, EndpointListJSON(r.version, true, entries...)) // the client may be gone
+	_, _ = io.WriteString(w, EndpointListJSON(r.version, true, entries...)) // fails if the client has disconnected
 }
 
 func (r *Registry) serveWatch(w http.ResponseWriter, request *http.Request) {
@@ -84,7 +84,7 @@
 		case <-request.Context().Done():
 			return
 		case line := <-lines:
-			_, _ = io.WriteString(w, line+"\n") // the client may be gone
+			_, _ = io.WriteString(w, line+"\n") // fails if the client has disconnected
 			flush(w)
 		}
 	}
@@ -98,8 +98,8 @@
 		id, address, state, startedMS)
 }
 
-// EndpointListJSON returns a list with the given entries as discovery sends it: the full list or, if it is
-// not full, the entries that changed.
+// EndpointListJSON returns a list with the given entries as discovery sends it. The entries are the full list or, if
+// full is false, only the changed ones.
 func EndpointListJSON(version int, full bool, entries ...string) string {
 	return fmt.Sprintf(`{"version":%d,"full":%t,"servers":[%s]}`, version, full, strings.Join(entries, ","))
 }
--- a/internal/testkit/request.go
+++ b/internal/testkit/request.go
@@ -7,17 +7,17 @@
 	"testing"
 )
 
-// CustomerPath is the last part of a request's path: it names the customer.
+// CustomerPath is the last segment of a request's path, which identifies the customer.
 const CustomerPath = "/00000000b4d65521"
 
-// The defaults of the request builders.
+// The default header values of requests.
 const (
 	RequestID = "9b1f03aa5c7e2d41"
 	Plan      = "team"
 )
 
-// NewRequest returns a client's request to the gateway at the address. All of its headers are valid for the
-// settings of Settings; deadline is in seconds.
+// NewRequest returns a client's request to the gateway at the address. All headers are valid with the settings that
+// Settings returns. The deadline is in seconds.
 func NewRequest(t testing.TB, address, method, path, plan, body, deadline string) *http.Request {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+address+path, strings.NewReader(body))
@@ -34,8 +34,8 @@
 	return request
 }
 
-// RequestHead returns the head of a client's request as text, its empty line included. The head of a POST
-// announces a body of one byte; deadline is in seconds.
+// RequestHead returns the head of a client's request as text, including the final empty line. The head of a POST
+// declares a body of one byte. The deadline is in seconds.
 func RequestHead(method, class, id, deadline string) string {
 	length := ""
 	if method == http.MethodPost {
--- a/internal/testkit/server.go
+++ b/internal/testkit/server.go
@@ -14,20 +14,20 @@
 // ResponseOK is a complete successful response whose body is "ok".
 const ResponseOK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// ResponseRejected is the complete response of a server that rejects the request without running it.
+// ResponseRejected is the complete response of a server that rejects a request without executing it.
 const ResponseRejected = "HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
 
-const closedCapacity = 100
+const closedEventCapacity = 100
 
-// Script writes the response to one request. It reports whether the connection is kept open.
+// Script writes the response to one request. It reports whether to keep the connection open.
 type Script func(conn net.Conn, request *http.Request) (keep bool)
 
 // Server is an upstream server whose responses a script writes byte by byte.
 type Server struct {
 	net.Listener
-	Connections atomic.Int32  // accepted so far
-	Requests    atomic.Int32  // received so far
-	Closed      chan struct{} // gets a value for each connection that the peer closed
+	Connections atomic.Int32  // number of accepted connections
+	Requests    atomic.Int32  // number of received requests
+	Closed      chan struct{} // receives a value for each connection that the peer closed
 
 	mu    sync.Mutex
 	conns []net.Conn
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Server{Listener: listener, Closed: make(chan struct{}, closedCapacity)}
+	s := &Server{Listener: listener, Closed: make(chan struct{}, closedEventCapacity)}
 	t.Cleanup(s.Stop)
 	go s.acceptAll(script)
 	return s
@@ -51,11 +51,11 @@
 
 // Stop closes the listener and all connections.
 func (s *Server) Stop() {
-	_ = s.Close() // fails when the test has stopped the server already
+	_ = s.Close() // fails if the test has already stopped the server
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, conn := range s.conns {
-		_ = conn.Close() // fails when the script has ended the connection already
+		_ = conn.Close() // fails if the connection is already closed
 	}
 }
 
@@ -74,7 +74,7 @@
 }
 
 func (s *Server) serve(conn net.Conn, script Script) {
-	defer func() { _ = conn.Close() }() // fails after Stop
+	defer func() { _ = conn.Close() }() // fails if Stop has already closed the connection
 	reader := bufio.NewReader(conn)
 	for {
 		request, err := http.ReadRequest(reader)
@@ -89,23 +89,23 @@
 	}
 }
 
-// Reply returns a script that reads the request's body and writes the same text each time.
+// Reply returns a script that reads each request's body and then writes the text.
 func Reply(text string, keep bool) Script {
 	return func(conn net.Conn, request *http.Request) bool {
-		// The peer may be gone already, which is for the test to notice.
+		// Errors are ignored because the peer may have disconnected, which the test itself has to detect.
 		_, _ = io.Copy(io.Discard, request.Body)
 		_, _ = io.WriteString(conn, text)
 		return keep
 	}
 }
 
-// Flood returns a script that writes the first text once and the second one over and over, until the peer
-// ends the connection.
-func Flood(first, more string) Script {
+// Flood returns a script that writes the first text once and then the second one repeatedly, until the peer closes the
+// connection.
+func Flood(first, repeated string) Script {
 	const repeats = 1000
 	return func(conn net.Conn, _ *http.Request) bool {
 		_, err := io.WriteString(conn, first)
-		for text := strings.Repeat(more, repeats); err == nil; {
+		for text := strings.Repeat(repeated, repeats); err == nil; {
 			_, err = io.WriteString(conn, text)
 		}
 		return false
--- a/internal/testkit/settings.go
+++ b/internal/testkit/settings.go
@@ -7,8 +7,8 @@
 	"springfield/internal/settings"
 )
 
-// The classes are "lookup" (idempotent), "add" (idempotent with a key) and "pay" (not idempotent). The plan
-// "team" is as good as unlimited; one request of two units uses up the burst of the plan "tight".
+// settingsJSON has the classes "lookup" (idempotent), "add" (idempotent by key) and "pay" (not idempotent). The plan
+// "team" is practically unlimited. One request of two units exhausts the burst of the plan "tight".
 const settingsJSON = `{"Balancers":1,"MyNumber":0,"Zones":["a"],
 "Classes":[{"Name":"lookup","AimMs":5000,"HardLimitMs":8000,"Repeat":"idempotent","Value":1},
 	{"Name":"add","AimMs":5000,"HardLimitMs":8000,"Repeat":"deduplicated","Group":"zone","KeyTtlMs":1500,"Value":1},
@@ -18,7 +18,7 @@
 "Extra":{"UsePeriodMs":1000,"MostUnits":6},
 "Limits":{"Cancel":true,"RetryAfter":true,"MaxRetryAfterMs":1000,"SendCap":5,"DialTimeoutMs":250,"ConnIdleMs":15000}}`
 
-// Settings returns settings of a deployment of one gateway with three classes and two plans.
+// Settings returns the settings of a deployment of one gateway with three classes and two plans.
 func Settings(t testing.TB) settings.Settings {
 	t.Helper()
 	var s settings.Settings
@@ -28,10 +28,10 @@
 	return s
 }
 
-// ExtendDeadlines gives the requests of all classes more time than any test waits.
+// ExtendDeadlines sets the objectives and deadlines of all classes to a time longer than any test waits.
 func ExtendDeadlines(s *settings.Settings) {
-	const longMS = 120_000
+	const extendedMS = 120_000
 	for i := range s.Classes {
-		s.Classes[i].AimMs, s.Classes[i].HardLimitMs = longMS, longMS
+		s.Classes[i].AimMs, s.Classes[i].HardLimitMs = extendedMS, extendedMS
 	}
 }
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,6 +1,5 @@
-// Package testkit holds what the tests of the network code share: a scripted upstream server, a scripted
-// discovery service, a client that writes raw bytes, and functions that wait with a time limit. Only tests
-// import it.
+// Package testkit provides helpers for tests of the network code: a scripted upstream server, a scripted discovery
+// service, a client that writes raw bytes, and functions that wait with a timeout. Only tests import it.
 package testkit
 
 import (
@@ -10,21 +9,21 @@
 	"springfield/internal/invariant"
 )
 
-// In tests a violated invariant ends the process.
+// init makes a violated invariant panic in every test binary that imports the package.
 func init() { invariant.PanicOnViolation() }
 
-// Timeout is the limit for anything that a test waits for.
+// Timeout bounds every wait of a test.
 const Timeout = 10 * time.Second
 
 const pollInterval = time.Millisecond
 
-// WaitFor waits for a value on the channel, or for its closing, and ends the test when neither comes in time.
+// WaitFor waits until the channel has a value or is closed. It fails the test after Timeout.
 func WaitFor(t testing.TB, what string, events <-chan struct{}) {
 	t.Helper()
 	Receive(t, what, events)
 }
 
-// Receive returns the next value of the channel and ends the test when none comes in time.
+// Receive returns the next value of the channel. It fails the test after Timeout.
 func Receive[T any](t testing.TB, what string, values <-chan T) T {
 	t.Helper()
 	select {
@@ -36,8 +35,8 @@
 	}
 }
 
-// Eventually polls until the condition holds and ends the test when that takes too long. It is for
-// conditions of which no channel informs.
+// Eventually polls until the condition holds. It fails the test after Timeout. It serves conditions that no channel
+// signals.
 func Eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Timeout); !condition(); time.Sleep(pollInterval) {
--- a/internal/testkit/testkit_test.go
+++ b/internal/testkit/testkit_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = response.Body.Close() }() // a watch ends without an error that matters
+	defer func() { _ = response.Body.Close() }() // the error of closing a watch is irrelevant
 	watch := testkit.Receive(t, "the watch", registry.Watches)
 	watch <- testkit.EndpointListJSON(4, false)
 	line, err := bufio.NewReader(response.Body).ReadString('\n')
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestServerFollowsItsScript(t *testing.T) {
+func TestServerRunsScriptForEachRequest(t *testing.T) {
 	server := testkit.NewServer(t, testkit.Reply(testkit.ResponseOK, true))
 	for range 2 {
 		client := testkit.Dial(t, server.Address())
