--- a/internal/simwire/codes.go
+++ b/internal/simwire/codes.go
@@ -1,68 +1,70 @@
 package simwire
 
-// EventCode tells which event a record holds.
+// EventCode identifies the event that a record holds.
 type EventCode uint8
 
-// The event codes, each with its name on the page that describes the wire.
+// The event codes. Each comment states the protocol's name of the code.
 const (
-	EventStart              EventCode = 0  // Begin: an instance starts
-	EventEndpointUpdate     EventCode = 1  // PeersKnown: what discovery tells of the endpoints
-	EventRequest            EventCode = 2  // Submit: a client's request has arrived
-	EventResponseStarted    EventCode = 3  // Opened: a streamed answer has begun
-	EventAttemptFinished    EventCode = 4  // Finished: an attempt has ended
-	EventClientDisconnected EventCode = 5  // ClientLeft: the request is closed
-	EventTimerFired         EventCode = 6  // Reminder: a timer is due
-	EventHealthCheckResult  EventCode = 7  // StatusBack: the answer to a health check
-	EventPeerMessage        EventCode = 8  // Message: what another instance has sent
-	EventStop               EventCode = 9  // Down: an instance has been terminated
-	EventCounterResult      EventCode = 10 // Total: the answer of the counter service
+	EventStart              EventCode = 0  // an instance starts (protocol: Begin)
+	EventEndpointUpdate     EventCode = 1  // discovery has reported endpoints (protocol: PeersKnown)
+	EventRequest            EventCode = 2  // a client's request has arrived (protocol: Submit)
+	EventResponseStarted    EventCode = 3  // a streamed response has started (protocol: Opened)
+	EventAttemptFinished    EventCode = 4  // an attempt has ended (protocol: Finished)
+	EventClientDisconnected EventCode = 5  // the client has left, which closes the request (protocol: ClientLeft)
+	EventTimerFired         EventCode = 6  // a timer has fired (protocol: Reminder)
+	EventHealthCheckResult  EventCode = 7  // a health check has ended (protocol: StatusBack)
+	EventPeerMessage        EventCode = 8  // another instance has sent a message (protocol: Message)
+	EventStop               EventCode = 9  // an instance has been terminated (protocol: Down)
+	EventCounterResult      EventCode = 10 // the counter service has answered (protocol: Total)
 
-	recordEndpointTable EventCode = 11 // Table: endpoints that later updates refer to; it makes no Event
+	// recordEndpointTable marks a table of endpoints to which later updates refer (protocol: Table). Decoding it
+	// produces no Event.
+	recordEndpointTable EventCode = 11
 )
 
-// Status tells how an attempt, a health check or a call of the counter service ended.
+// Status describes how an attempt, a health check or a call of the counter service ended.
 type Status uint8
 
-// The statuses. Only after Rejected, ConnectFailed and NotSent is it certain that the request was not executed.
+// The statuses. Only StatusRejected, StatusConnectFailed and StatusNotSent guarantee that the request was not executed.
 const (
 	StatusOK            Status = 10
-	StatusServerError   Status = 20 // the endpoint answered with an error
-	StatusRejected      Status = 30 // full: the endpoint turned it away unread
+	StatusServerError   Status = 20 // the endpoint responded with an error
+	StatusRejected      Status = 30 // the endpoint was full and rejected the request unread (protocol: full)
 	StatusTimedOut      Status = 40
 	StatusConnectFailed Status = 50
 	StatusReset         Status = 60 // the connection broke
 	StatusCancelled     Status = 70
-	StatusNotSent       Status = 80 // moot: the simulator did not send it
+	StatusNotSent       Status = 80 // the simulator did not send the attempt (protocol: moot)
 )
 
-// valid reports whether the wire defines the status.
+// valid reports whether the protocol defines the status.
 func (s Status) valid() bool { return s >= StatusOK && s <= StatusNotSent && s%10 == 0 }
 
-// UpdateKind tells what an EventEndpointUpdate holds.
+// UpdateKind describes the contents of an EventEndpointUpdate.
 type UpdateKind uint8
 
 // The kinds of endpoint updates.
 const (
-	UpdateDelta  UpdateKind = 0 // the entries that have changed
-	UpdateFull   UpdateKind = 1 // the whole list
-	UpdateCached UpdateKind = 2 // the whole list as the instance last had it, which may be old
-	UpdateFailed UpdateKind = 3 // no entries: a call of discovery failed
+	UpdateDelta  UpdateKind = 0 // the update holds only the changed entries
+	UpdateFull   UpdateKind = 1 // the update holds the full list
+	UpdateCached UpdateKind = 2 // the update holds the full list that the instance last had, which may be stale
+	UpdateFailed UpdateKind = 3 // the update holds no entries because a call to discovery failed
 )
 
-// EndpointState tells what an endpoint list says of an endpoint.
+// EndpointState is the state of an endpoint in an endpoint list.
 type EndpointState uint8
 
 // The states of an endpoint.
 const (
-	EndpointRemoved  EndpointState = 0 // gone; only in deltas
+	EndpointRemoved  EndpointState = 0 // the endpoint has been removed; occurs only in an UpdateDelta
 	EndpointReady    EndpointState = 1
-	EndpointDraining EndpointState = 2 // completes its work and takes no more
+	EndpointDraining EndpointState = 2 // the endpoint completes open requests and accepts no new ones
 )
 
-// actionCode tells which action a record holds.
+// actionCode identifies the action that a record holds.
 type actionCode uint8
 
-// The action codes, each with its name on the page that describes the wire.
+// The action codes. Each comment is the protocol's name of the code.
 const (
 	actionForward        actionCode = 0  // Send
 	actionReject         actionCode = 1  // Refuse
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -8,30 +8,30 @@
 	"slices"
 )
 
-// Layout of a batch's frame: its header has the length of what follows the length field, the clock and the number of
-// records. A record has a header, too: its code and the length of its fields.
+// The layout of a batch frame. The frame header holds the number of bytes after the length field, the clock and the
+// number of records. Each record header holds the record's code and the length of its fields.
 const (
 	clockOffset       = 4
 	countOffset       = 12
 	batchHeaderBytes  = 16
 	recordHeaderBytes = 5
-	minEventBytes     = recordHeaderBytes + 4 // an event has at least its instance
+	minEventBytes     = recordHeaderBytes + 4 // an event contains at least its instance
 
-	maxFrameBytes = 1 << 30 // greatest length that a frame may claim
-	readBytes     = 1 << 20 // most bytes for which the buffer grows ahead of the input
+	maxFrameBytes  = 1 << 30 // maximum length that a frame may declare
+	readChunkBytes = 1 << 20 // maximum number of bytes by which the buffer grows before they are read
 )
 
-// Decoder reads batches. It keeps the endpoint tables between them.
+// Decoder reads batches. It keeps endpoint tables across batches.
 type Decoder struct {
 	input  io.Reader
-	frame  []byte                 // the current frame, from its length field on
-	tables [tableCount][]Endpoint // nil: not yet received
+	frame  []byte                 // current frame, including its length field
+	tables [tableCount][]Endpoint // endpoint tables by number; nil if not received yet
 }
 
 // NewDecoder returns a Decoder that reads from input.
 func NewDecoder(input io.Reader) *Decoder { return &Decoder{input: input} }
 
-// Next reads a batch. It returns io.EOF if the input ends between two frames, and otherwise a *FormatError.
+// Next reads the next batch. It returns io.EOF if the input ends between two frames. All other errors are *FormatError.
 func (d *Decoder) Next() (*Batch, error) {
 	if err := d.readFrame(); err != nil {
 		return nil, err
@@ -39,7 +39,8 @@
 	return d.decodeBatch()
 }
 
-// readFrame reads a frame into the buffer, which grows as bytes arrive: a length alone does not claim memory.
+// readFrame reads a frame into the buffer. The buffer grows only as bytes arrive, so that a declared length alone
+// cannot allocate much memory.
 func (d *Decoder) readFrame() error {
 	d.frame = slices.Grow(d.frame[:0], clockOffset)[:clockOffset]
 	if n, err := io.ReadFull(d.input, d.frame); err != nil {
@@ -54,8 +55,8 @@
 	}
 	for end := clockOffset + int(length); len(d.frame) < end; {
 		start := len(d.frame)
-		more := min(end-start, readBytes)
-		d.frame = slices.Grow(d.frame, more)[:start+more]
+		chunk := min(end-start, readChunkBytes)
+		d.frame = slices.Grow(d.frame, chunk)[:start+chunk]
 		if n, err := io.ReadFull(d.input, d.frame[start:]); err != nil {
 			return readError(start+n, "input ends inside a frame", err)
 		}
@@ -74,11 +75,11 @@
 func (d *Decoder) decodeBatch() (*Batch, error) {
 	clock := math.Float64frombits(binary.LittleEndian.Uint64(d.frame[clockOffset:]))
 	if math.IsNaN(clock) || math.IsInf(clock, 0) {
-		return nil, formatErrorf(clockOffset, "the clock is not a number")
+		return nil, formatErrorf(clockOffset, "the clock is not a finite number")
 	}
 	count := int(binary.LittleEndian.Uint32(d.frame[countOffset:]))
-	mostEvents := (len(d.frame) - batchHeaderBytes) / minEventBytes
-	batch := &Batch{ClockMs: clock, Events: make([]Event, 0, min(count, mostEvents))}
+	maxEvents := (len(d.frame) - batchHeaderBytes) / minEventBytes
+	batch := &Batch{ClockMs: clock, Events: make([]Event, 0, min(count, maxEvents))}
 	offset := batchHeaderBytes
 	for i := range count {
 		if len(d.frame)-offset < recordHeaderBytes {
@@ -102,7 +103,7 @@
 	length := int(binary.LittleEndian.Uint32(d.frame[offset+1:]))
 	start := offset + recordHeaderBytes
 	if length > len(d.frame)-start {
-		return 0, formatErrorf(offset+1, "record of %d bytes passes the end of the frame", length)
+		return 0, formatErrorf(offset+1, "record of %d bytes exceeds the frame", length)
 	}
 	end = start + length
 	fields := fieldReader{frame: d.frame[:end], offset: start}
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// exampleBatch is the example of the page that describes the wire.
+// exampleBatch is the example batch of the protocol description.
 const exampleBatch = `59000000 00000000206ec040 03000000
 02 2a000000 03000000 c4913a5d 0000 0000 640ad2557c3bf091 0000000000006e40 00000040 00004040 0000803f 0100
 06 0c000000 03000000 4d00000000000000
@@ -24,7 +24,7 @@
 	return b
 }
 
-// frameFromHex is fromHex for a frame of up to 259 bytes, whose length it fills in.
+// frameFromHex decodes a frame of up to 259 bytes and fills in its length field.
 func frameFromHex(t testing.TB, digits string) []byte {
 	t.Helper()
 	frame := fromHex(t, digits)
@@ -53,7 +53,7 @@
 	if disconnect.Instance != 5 || disconnect.RequestID != 0x0e6f2b19 {
 		t.Errorf("disconnected client: %+v", disconnect)
 	}
-	if _, err := decoder.Next(); err != io.EOF { //nolint:errorlint // the end is to be io.EOF itself, as with an io.Reader
+	if _, err := decoder.Next(); err != io.EOF { //nolint:errorlint // Next must return io.EOF itself, unwrapped
 		t.Errorf("after the last batch: %v", err)
 	}
 }
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestTableNumberIsReusedWithinBatch(t *testing.T) {
+func TestTableNumberCanBeReusedWithinBatch(t *testing.T) {
 	table := func(endpoint string) string {
 		return "0b 1e000000 00000000 01000000 0000 0000803f 01 00 " + endpoint + " 0000000000000000 0000 "
 	}
@@ -97,6 +97,6 @@
 		t.Fatal(err)
 	}
 	if batch.Events[0].Endpoints[0].ID != 1 || batch.Events[1].Endpoints[0].ID != 2 {
-		t.Errorf("tables are not looked up in the order of events: %+v", batch.Events)
+		t.Errorf("an update uses a table that arrived after it, or misses the latest one: %+v", batch.Events)
 	}
 }
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// FormatError reports input that is not as the wire defines it.
+// FormatError reports input that violates the protocol.
 type FormatError struct {
-	Offset int    // of the fault, counted from the first byte of the frame
-	Reason string // what is wrong
-	Err    error  // cause, if another error led to this one; never io.EOF, which is left to the end of the input
+	Offset int    // offset of the invalid data from the first byte of the frame
+	Reason string // description of the error
+	Err    error  // underlying error, or nil; never io.EOF, which only marks the end of the input
 }
 
-// Error returns the offset, the reason and the cause.
+// Error returns the offset, the reason and the underlying error, if any.
 func (e *FormatError) Error() string {
 	if e.Err != nil {
 		return fmt.Sprintf("offset %d: %s: %v", e.Offset, e.Reason, e.Err)
@@ -17,7 +17,7 @@
 	return fmt.Sprintf("offset %d: %s", e.Offset, e.Reason)
 }
 
-// Unwrap returns the cause, or nil.
+// Unwrap returns the underlying error, or nil.
 func (e *FormatError) Unwrap() error { return e.Err }
 
 func formatErrorf(offset int, format string, args ...any) *FormatError {
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -5,28 +5,28 @@
 	"math"
 )
 
-// fieldReader reads the fields of a record one by one. After its first error it returns zero values only.
+// fieldReader reads the fields of a record in order. After its first error it returns only zero values.
 type fieldReader struct {
-	frame  []byte // up to the end of the record
-	offset int    // of the next field
+	frame  []byte // frame up to the end of the record
+	offset int    // offset of the next field in the frame
 	err    *FormatError
 }
 
-// fail records an error, unless there has been one.
+// fail records an error unless an earlier one is already recorded.
 func (r *fieldReader) fail(err *FormatError) {
 	if r.err == nil {
 		r.err = err
 	}
 }
 
-// bytes returns the next n bytes, which are valid until the next frame is read. It returns nil after an error.
+// bytes returns the next n bytes, which are valid until the next frame is read. It returns nil on or after an error.
 func (r *fieldReader) bytes(n int) []byte {
 	if r.err != nil {
 		return nil
 	}
-	left := len(r.frame) - r.offset
-	if n < 0 || n > left {
-		r.err = formatErrorf(r.offset, "record ends %d bytes short", n-left)
+	remaining := len(r.frame) - r.offset
+	if n < 0 || n > remaining {
+		r.err = formatErrorf(r.offset, "record is %d bytes short", n-remaining)
 		return nil
 	}
 	field := r.frame[r.offset : r.offset+n]
@@ -95,7 +95,7 @@
 	return state
 }
 
-// loadReport reads a count and so many values. It returns nil for none.
+// loadReport reads a count and that number of values. It returns nil if the count is 0.
 func (r *fieldReader) loadReport() []float32 {
 	count := int(r.uint8())
 	if count == 0 {
--- a/internal/simwire/malformed_test.go
+++ b/internal/simwire/malformed_test.go
@@ -15,14 +15,14 @@
 		"tiny frame":        {"04000000 00000000", "out of range"},
 		"unknown code":      {"15000000 00000000206ec040 01000000 63 04000000 03000000", "unknown event code 99"},
 		"short record":      {"15000000 00000000206ec040 01000000 05 04000000 03000000", "bytes short"},
-		"record too long":   {"15000000 00000000206ec040 01000000 05 ff000000 03000000", "passes the end"},
+		"record too long":   {"15000000 00000000206ec040 01000000 05 ff000000 03000000", "exceeds the frame"},
 		"bytes left over":   {"16000000 00000000206ec040 01000000 09 05000000 03000000 00", "after the fields"},
 		"missing record":    {"0c000000 00000000206ec040 01000000", "frame ends at record 0 of 1"},
 		"after last record": {"0d000000 00000000206ec040 00000000 00", "after the last record"},
 		"bad settings": {"23000000 00000000206ec040 01000000 00 12000000 03000000 0000000000000000 02000000 7b7b",
-			"settings do not parse"},
+			"invalid settings"},
 		"no such table": {"22000000 00000000206ec040 01000000 01 11000000 03000000 05000000 2900000000000000 02",
-			"no table 5"},
+			"unknown table 5"},
 		"table count": {"19000000 00000000206ec040 01000000 0b 08000000 00000000 09000000", "do not fill"},
 	} {
 		_, err := NewDecoder(bytes.NewReader(fromHex(t, c.input))).Next()
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestFormatErrorHasOffsetOfFault(t *testing.T) {
+func TestFormatErrorHasOffsetOfInvalidField(t *testing.T) {
 	for name, c := range map[string]struct {
 		input  string
 		offset int
@@ -61,18 +61,18 @@
 	}
 }
 
-// A frame that is cut short must not look like the end of the input.
-func TestCutFrameIsNotEndOfInput(t *testing.T) {
+// A truncated frame must not be mistaken for a regular end of the input, or lost events would go unnoticed.
+func TestTruncatedFrameIsNotEndOfInput(t *testing.T) {
 	whole := fromHex(t, exampleBatch)
 	for length := 1; length < len(whole); length++ {
 		_, err := NewDecoder(bytes.NewReader(whole[:length])).Next()
 		if errors.Is(err, io.EOF) || !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Errorf("%d bytes: got %v", length, err)
+			t.Errorf("frame cut to %d bytes: got %v, want io.ErrUnexpectedEOF", length, err)
 		}
 	}
 }
 
-// FuzzDecoder checks that any input gives batches, a clean end or a FormatError, and never a panic.
+// FuzzDecoder checks that any input results in batches, io.EOF or a FormatError, and never in a panic.
 func FuzzDecoder(f *testing.F) {
 	f.Add(fromHex(f, exampleBatch))
 	f.Add(fromHex(f, "0c000000 00000000206ec040 00000000"))
@@ -80,7 +80,7 @@
 		decoder := NewDecoder(bytes.NewReader(input))
 		for {
 			_, err := decoder.Next()
-			if err == io.EOF { //nolint:errorlint // the end is to be io.EOF itself, as with an io.Reader
+			if err == io.EOF { //nolint:errorlint // Next must return io.EOF itself, unwrapped
 				return
 			}
 			if err == nil {
--- a/internal/simwire/records.go
+++ b/internal/simwire/records.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	tableCount    = 16 // numbers of endpoint tables
-	endpointBytes = 22 // an entry of an endpoint table
+	tableCount    = 16 // number of endpoint tables
+	endpointBytes = 22 // encoded size of an endpoint table entry
 )
 
-// decodeEvent reads the fields of an event, in the order of the wire. Errors are left in r.
+// decodeEvent reads the fields of an event in protocol order. It leaves errors in r.err.
 func (d *Decoder) decodeEvent(r *fieldReader, e *Event) {
 	e.Instance = r.uint32()
 	switch e.Code {
@@ -51,7 +51,7 @@
 	}
 	e.Settings = new(settings.Settings)
 	if err := json.Unmarshal(text, e.Settings); err != nil {
-		r.fail(&FormatError{Offset: offset, Reason: "settings do not parse", Err: err})
+		r.fail(&FormatError{Offset: offset, Reason: "invalid settings", Err: err})
 	}
 }
 
@@ -64,7 +64,7 @@
 		return
 	}
 	if e.TableID >= tableCount || d.tables[e.TableID] == nil {
-		r.fail(formatErrorf(tableOffset, "no table %d", e.TableID))
+		r.fail(formatErrorf(tableOffset, "unknown table %d", e.TableID))
 		return
 	}
 	e.Endpoints = d.tables[e.TableID]
@@ -115,7 +115,7 @@
 	e.LatencyMs = r.float64()
 }
 
-// decodeEndpointTable reads an endpoint table, which replaces the one with the same number.
+// decodeEndpointTable reads an endpoint table, which replaces any earlier table with the same number.
 func (d *Decoder) decodeEndpointTable(r *fieldReader) {
 	idOffset := r.offset
 	id := r.uint32()
@@ -128,9 +128,9 @@
 		r.fail(formatErrorf(idOffset, "table number %d out of range", id))
 		return
 	}
-	left := len(r.frame) - r.offset
-	if int64(count)*endpointBytes != int64(left) {
-		r.fail(formatErrorf(countOffset, "%d entries do not fill %d bytes", count, left))
+	remaining := len(r.frame) - r.offset
+	if int64(count)*endpointBytes != int64(remaining) {
+		r.fail(formatErrorf(countOffset, "%d entries do not fill %d bytes", count, remaining))
 		return
 	}
 	table := make([]Endpoint, count)
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -5,19 +5,19 @@
 	"math"
 )
 
-// Lengths of fields in bytes.
+// The lengths of encoded fields, in bytes.
 const (
-	idBytes     = 4 // instance, request, endpoint or peer
-	attemptByte = 1
-	boolByte    = 1
-	timeBytes   = 8
-	tokenBytes  = 8 // timer or counter
-	amountBytes = 4
-	countBytes  = 2 // before a text
+	idBytes         = 4 // instance, request, endpoint or peer
+	attemptBytes    = 1
+	boolBytes       = 1
+	timeBytes       = 8
+	tokenBytes      = 8 // timer or counter
+	amountBytes     = 4
+	textLengthBytes = 2 // before a text
 )
 
-// Reply gathers the actions that answer a batch. Its zero value is empty. Each action's first argument is the
-// instance that takes it; times are in milliseconds.
+// Reply collects the actions that answer a batch. The zero value is an empty reply. The first argument of each action
+// method is the instance that takes the action.
 type Reply struct {
 	records []byte
 	count   uint32
@@ -29,100 +29,103 @@
 	r.count = 0
 }
 
-// AppendFrame appends the reply's frame to buffer and returns it.
+// AppendFrame appends the encoded reply to buffer and returns the extended buffer.
 func (r *Reply) AppendFrame(buffer []byte) []byte {
 	buffer = binary.LittleEndian.AppendUint32(buffer, r.count)
 	buffer = binary.LittleEndian.AppendUint32(buffer, uint32(len(r.records)))
 	return append(buffer, r.records...)
 }
 
-// Forward (Send) starts an attempt. At the clock time untilMs it is given up; 0 means the client's deadline.
-func (r *Reply) Forward(instance, request, endpoint uint32, untilMs float64) {
-	r.begin(actionForward, instance, 2*idBytes+timeBytes)
+// Forward starts an attempt (protocol: Send), which is abandoned at the clock time giveUpAtMs; 0 selects the client's
+// deadline.
+func (r *Reply) Forward(instance, request, endpoint uint32, giveUpAtMs float64) {
+	r.beginRecord(actionForward, instance, 2*idBytes+timeBytes)
 	r.uint32(request)
 	r.uint32(endpoint)
-	r.float64(untilMs)
+	r.float64(giveUpAtMs)
 }
 
-// Reject (Refuse) ends a request and tells the client that a retry is harmless, and when to retry; 0: no advice.
+// Reject ends a request (protocol: Refuse). The client learns that a retry is safe, and after which time it should
+// retry; with a retryAfterMs of 0 it learns no time.
 func (r *Reply) Reject(instance, request uint32, retryAfterMs float64) {
-	r.begin(actionReject, instance, idBytes+timeBytes)
+	r.beginRecord(actionReject, instance, idBytes+timeBytes)
 	r.uint32(request)
 	r.float64(retryAfterMs)
 }
 
-// Fail (ReportFailure) ends a request, which may have been executed.
+// Fail ends a request that may have been executed (protocol: ReportFailure).
 func (r *Reply) Fail(instance, request uint32) {
-	r.begin(actionFail, instance, idBytes)
+	r.beginRecord(actionFail, instance, idBytes)
 	r.uint32(request)
 }
 
-// CancelAttempt (CallOff) cancels an attempt.
+// CancelAttempt cancels an attempt (protocol: CallOff).
 func (r *Reply) CancelAttempt(instance, request uint32, attempt uint8) {
-	r.begin(actionCancelAttempt, instance, idBytes+attemptByte)
+	r.beginRecord(actionCancelAttempt, instance, idBytes+attemptBytes)
 	r.uint32(request)
 	r.uint8(attempt)
 }
 
-// StartTimer (SetTimer) asks for an EventTimerFired with the token.
+// StartTimer requests an EventTimerFired with the token after afterMs (protocol: SetTimer).
 func (r *Reply) StartTimer(instance uint32, afterMs float64, token uint64) {
-	r.begin(actionStartTimer, instance, timeBytes+tokenBytes)
+	r.beginRecord(actionStartTimer, instance, timeBytes+tokenBytes)
 	r.float64(afterMs)
 	r.uint64(token)
 }
 
-// HealthCheck (HealthCheck) sends a health check to an endpoint.
+// HealthCheck sends a health check to an endpoint (protocol: HealthCheck).
 func (r *Reply) HealthCheck(instance, endpoint uint32) {
-	r.begin(actionHealthCheck, instance, idBytes)
+	r.beginRecord(actionHealthCheck, instance, idBytes)
 	r.uint32(endpoint)
 }
 
-// CloseIdle (HangUp) closes the instance's idle connections to an endpoint.
+// CloseIdle closes the instance's idle connections to an endpoint (protocol: HangUp).
 func (r *Reply) CloseIdle(instance, endpoint uint32) {
-	r.begin(actionCloseIdle, instance, idBytes)
+	r.beginRecord(actionCloseIdle, instance, idBytes)
 	r.uint32(endpoint)
 }
 
-// SendToPeer (Tell) sends a message to another instance, or to all with a peer of all bits set.
+// SendToPeer sends a message to another instance, or to all instances if all bits of peer are set (protocol: Tell).
 func (r *Reply) SendToPeer(instance, peer uint32, message []byte) {
-	r.begin(actionSendToPeer, instance, idBytes+textBytes(len(message)))
+	r.beginRecord(actionSendToPeer, instance, idBytes+textBytes(len(message)))
 	r.uint32(peer)
 	r.text(message)
 }
 
-// Log (Emit) adds a line to the simulator's report.
+// Log adds a line to the simulator's report (protocol: Emit).
 func (r *Reply) Log(instance uint32, line string) {
-	r.begin(actionLog, instance, textBytes(len(line)))
+	r.beginRecord(actionLog, instance, textBytes(len(line)))
 	r.text([]byte(line))
 }
 
-// ReportPanic (BailOut) tells that the policy has failed, which ends the simulated day.
+// ReportPanic reports a panic of the policy, which ends the simulation (protocol: BailOut).
 func (r *Reply) ReportPanic(instance uint32, reason string) {
-	r.begin(actionReportPanic, instance, textBytes(len(reason)))
+	r.beginRecord(actionReportPanic, instance, textBytes(len(reason)))
 	r.text([]byte(reason))
 }
 
-// WatchEndpoints (Track) subscribes to changes of the endpoint list, or ends the subscription.
+// WatchEndpoints subscribes to changes of the endpoint list or ends the subscription (protocol: Track).
 func (r *Reply) WatchEndpoints(instance uint32, active bool) {
-	r.begin(actionWatchEndpoints, instance, boolByte)
+	r.beginRecord(actionWatchEndpoints, instance, boolBytes)
 	r.bool(active)
 }
 
-// FetchEndpoints (Resolve) asks for the whole endpoint list once.
+// FetchEndpoints requests the full endpoint list once (protocol: Resolve).
 func (r *Reply) FetchEndpoints(instance uint32) {
-	r.begin(actionFetchEndpoints, instance, 0)
+	r.beginRecord(actionFetchEndpoints, instance, 0)
 }
 
-// AddToCounter (Add) adds an amount to a counter, which a first call creates to live for expireMs.
+// AddToCounter adds an amount to a counter (protocol: Add). The first call creates the counter, which expires after
+// expireMs.
 func (r *Reply) AddToCounter(instance uint32, amount float32, expireMs float64, name uint64) {
-	r.begin(actionAddToCounter, instance, amountBytes+timeBytes+tokenBytes)
+	r.beginRecord(actionAddToCounter, instance, amountBytes+timeBytes+tokenBytes)
 	r.float32(amount)
 	r.float64(expireMs)
 	r.uint64(name)
 }
 
-// begin starts a record. The length is that of the fields after the instance.
-func (r *Reply) begin(code actionCode, instance uint32, length int) {
+// beginRecord appends the header and the instance of a record. The length is that of the fields after the instance.
+func (r *Reply) beginRecord(code actionCode, instance uint32, length int) {
 	r.count++
 	r.uint8(uint8(code))
 	r.uint32(uint32(idBytes + length))
@@ -147,12 +150,12 @@
 	}
 }
 
-// text appends a text with its length. What is longer than the wire allows is cut off.
+// text appends a text with its length. It truncates a text that exceeds the 16-bit length field.
 func (r *Reply) text(text []byte) {
 	text = text[:min(len(text), math.MaxUint16)]
 	r.records = binary.LittleEndian.AppendUint16(r.records, uint16(len(text)))
 	r.records = append(r.records, text...)
 }
 
-// textBytes is what a text of the given length takes in a record.
-func textBytes(length int) int { return countBytes + min(length, math.MaxUint16) }
+// textBytes returns the encoded size of a text of the given length.
+func textBytes(length int) int { return textLengthBytes + min(length, math.MaxUint16) }
--- a/internal/simwire/reply_test.go
+++ b/internal/simwire/reply_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestLengthOfEachAction checks the length field of every action against its bytes.
-func TestLengthOfEachAction(t *testing.T) {
+// A length field that does not match the encoded fields would make the simulator misread all later records.
+func TestActionLengthFieldMatchesItsBytes(t *testing.T) {
 	for name, act := range map[string]func(reply *Reply){
 		"Forward":        func(reply *Reply) { reply.Forward(1, 2, 3, 4) },
 		"Reject":         func(reply *Reply) { reply.Reject(1, 2, 3) },
@@ -53,13 +53,14 @@
 		act(&reply)
 		length := int(reply.records[1]) | int(reply.records[2])<<8
 		if fields := len(reply.records) - recordHeaderBytes; length != fields {
-			t.Errorf("%s gives a length of %d for %d bytes of fields", name, length, fields)
+			t.Errorf("%s: the length field is %d, but the fields take %d bytes", name, length, fields)
 		}
 	}
 }
 
-// TestExamplesOfEachAction compares every action with its example on the page that describes the wire.
-func TestExamplesOfEachAction(t *testing.T) {
+// Every action must be encoded exactly as in the example of the protocol description, or the simulator could not decode
+// it.
+func TestActionsEncodeAsInProtocolExamples(t *testing.T) {
 	const request, endpoint, instance = 0x5d3a91c4, 0x03124a07, 3
 	for want, act := range map[string]func(reply *Reply){
 		"00 14000000 03000000 c4913a5d 074a1203 000000002096c040": func(reply *Reply) {
