--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -41,7 +41,7 @@
 type Injector struct{ controlFile string }
 
 // New returns an injector that follows the control file. With an empty path it injects no failures.
-func New(control string) *Injector { return &Injector{controlFile: control} }
+func New(controlFile string) *Injector { return &Injector{controlFile: controlFile} }
 
 // failure returns the error with which an operation has to fail now, or nil.
 func (i *Injector) failure(operation string) error {
--- a/internal/faultinjection/faultinjection_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -38,7 +38,7 @@
 		}
 		if strings.Contains(text, "ENOBUFS") {
 			if _, err := listener.Accept(); !errors.Is(err, syscall.ENOBUFS) {
-				t.Errorf("%q: Accept returned error %v, want %v", text, err, syscall.ENOBUFS)
+				t.Errorf("%q: Accept returned error %v, want ENOBUFS", text, err)
 			}
 		} else if conn != nil {
 			if _, err := listener.Accept(); err != nil {
@@ -60,7 +60,7 @@
 			t.Fatal(err)
 		}
 		if got := strings.Contains(string(output), module+"\n"); got != test.want {
-			t.Errorf("tags %q: linked is %v, want %v", test.tags, got, test.want)
+			t.Errorf("tags %q: the package is linked: %v", test.tags, got)
 		}
 	}
 }
