--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock maps the monotonic clock onto the policy's time axis.
+// Package clock converts between the monotonic clock and policy time, a time.Duration that package policy uses as its
+// time base.
 package clock
 
 import "time"
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -16,8 +16,8 @@
 	"springfield/internal/testkit"
 )
 
-// fileFor returns a configuration file with one class and one plan.
-func fileFor(name, discovery, class string) string {
+// configText returns the text of a configuration file with one class and one plan.
+func configText(name, discovery, class string) string {
 	return `{"name":"` + name + `","discovery":"` + discovery + `","settings":{"Classes":[{"Name":"` + class +
 		`","Repeat":"idempotent"}],"Contracts":[{"Name":"team"}]}}`
 }
@@ -48,7 +48,7 @@
 // with one line in the log. A file whose write completes during the retries must be applied without another signal.
 func TestUnusableFilesAreNotApplied(t *testing.T) {
 	lines := captureLog(t)
-	path := newFile(t, fileFor("n1", "127.0.0.1:1", "lookup"))
+	path := newFile(t, configText("n1", "127.0.0.1:1", "lookup"))
 	current, err := read(path)
 	if err != nil {
 		t.Fatal(err)
@@ -67,11 +67,11 @@
 		}
 	}
 
-	complete := fileFor("n1", "127.0.0.1:2", "lookup")
+	complete := configText("n1", "127.0.0.1:2", "lookup")
 	for _, unusable := range []string{
 		"", "{", complete[:len(complete)/2], `{"name":"n1"}`,
-		fileFor("n2", "127.0.0.1:9", "lookup"),
-		fileFor("n1", "127.0.0.1:9", "search"),
+		configText("n2", "127.0.0.1:9", "lookup"),
+		configText("n1", "127.0.0.1:9", "search"),
 		strings.Replace(complete, "idempotent", "at_most_once", 1),
 		strings.Replace(complete, "team", "pro", 1),
 	} {
@@ -92,7 +92,7 @@
 // An unusable file must be retried for two seconds and logged once. After that, only another signal may cause a reload,
 // and that signal starts new retries.
 func TestRetriesEndAfterTwoSeconds(t *testing.T) {
-	path := newFile(t, fileFor("n1", "127.0.0.1:1", "lookup"))
+	path := newFile(t, configText("n1", "127.0.0.1:1", "lookup"))
 	current, err := read(path)
 	if err != nil {
 		t.Fatal(err)
@@ -112,7 +112,7 @@
 		if len(lines) != 1 {
 			t.Errorf("%d lines logged, want 1", len(lines))
 		}
-		writeFile(t, path, fileFor("n1", "127.0.0.1:2", "lookup"))
+		writeFile(t, path, configText("n1", "127.0.0.1:2", "lookup"))
 		time.Sleep(time.Minute)
 		if len(applied) != 0 || len(lines) != 1 {
 			t.Errorf("applied %d configurations without a signal; %d lines logged", len(applied), len(lines))
@@ -123,7 +123,7 @@
 		if len(lines) != 2 {
 			t.Errorf("%d lines logged, want 2", len(lines))
 		}
-		writeFile(t, path, fileFor("n1", "127.0.0.1:2", "lookup"))
+		writeFile(t, path, configText("n1", "127.0.0.1:2", "lookup"))
 		if reloaded := <-applied; reloaded.Discovery != "127.0.0.1:2" {
 			t.Errorf("applied %+v", reloaded)
 		}
@@ -133,18 +133,18 @@
 }
 
 func TestReloadRejectsFilesOfAnotherGatewayOrDeployment(t *testing.T) {
-	path := newFile(t, fileFor("n1", "127.0.0.1:1", "lookup"))
+	path := newFile(t, configText("n1", "127.0.0.1:1", "lookup"))
 	current, err := read(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := fileFor("n1", "127.0.0.1:2", "lookup")
+	good := configText("n1", "127.0.0.1:2", "lookup")
 	for _, test := range []struct {
 		text string
 		want IncompatibleError
 	}{
-		{fileFor("n2", "127.0.0.1:2", "lookup"), IncompatibleError{Field: "name", Current: "n1", New: "n2"}},
-		{fileFor("n1", "127.0.0.1:2", "search"), IncompatibleError{Field: "class", Current: "lookup", New: "search"}},
+		{configText("n2", "127.0.0.1:2", "lookup"), IncompatibleError{Field: "name", Current: "n1", New: "n2"}},
+		{configText("n1", "127.0.0.1:2", "search"), IncompatibleError{Field: "class", Current: "lookup", New: "search"}},
 		{strings.Replace(good, "idempotent", "at_most_once", 1), IncompatibleError{
 			Field: "repeat rule of class lookup", Current: "idempotent", New: "at_most_once"}},
 		{strings.Replace(good, "team", "pro", 1), IncompatibleError{Field: "plan", Current: "team", New: "pro"}},
@@ -173,7 +173,7 @@
 // A configuration that becomes usable during the retries must carry the time of the first signal that requested it, or
 // the caller would not account for the time of the retries. The next signal must be timed by itself.
 func TestReloadReportsTimeOfFirstSignal(t *testing.T) {
-	path := newFile(t, fileFor("n1", "127.0.0.1:1", "lookup"))
+	path := newFile(t, configText("n1", "127.0.0.1:1", "lookup"))
 	current, err := read(path)
 	if err != nil {
 		t.Fatal(err)
@@ -191,7 +191,7 @@
 		time.Sleep(maxRetries / 2 * retryInterval)
 		signals <- os.Interrupt
 		time.Sleep(maxRetries / 2 * retryInterval)
-		writeFile(t, path, fileFor("n1", "127.0.0.1:2", "lookup"))
+		writeFile(t, path, configText("n1", "127.0.0.1:2", "lookup"))
 		if requestedAt := <-applied; !requestedAt.Equal(first) {
 			t.Errorf("the reported time is %v after the first signal", requestedAt.Sub(first))
 		}
--- a/internal/configcheck/gateway.go
+++ b/internal/configcheck/gateway.go
@@ -148,7 +148,7 @@
 	} else if !list.Full {
 		c.warn(path+".full", "is false: the gateway treats the list as incomplete until discovery has sent a full one")
 	}
-	first := map[string]int{}
+	indexByID := map[string]int{}
 	for i := range list.Servers {
 		server, serverPath := &list.Servers[i], elementPath(path+".servers", i)
 		c.checkServer(server, serverPath, zones)
@@ -156,12 +156,12 @@
 			c.failMissing(serverPath+".id", "a name: the gateway ignores the entry")
 			continue
 		}
-		if earlier, ok := first[server.ID]; ok {
+		if earlier, ok := indexByID[server.ID]; ok {
 			c.fail(serverPath+".id", "is %q, which is already the id of %s", server.ID,
 				elementPath(path+".servers", earlier))
 			continue
 		}
-		first[server.ID] = i
+		indexByID[server.ID] = i
 	}
 }
 
--- a/internal/oserror/oserror_test.go
+++ b/internal/oserror/oserror_test.go
@@ -55,19 +55,19 @@
 				return nil
 			}
 		}
-		const many = 1_000_000
+		const maxCalls = 1_000_000
 		if err := oserror.RetryShortage(t.Context(), failing(20, syscall.ENOBUFS)); err != nil || calls != 21 {
 			t.Errorf("%v after %d calls", err, calls)
 		}
 		if err := oserror.RetryShortage(t.Context(), failing(1, syscall.EADDRINUSE)); err == nil || calls != 1 {
 			t.Errorf("%v after %d calls", err, calls)
 		}
-		if err := oserror.RetryShortage(t.Context(), failing(many, syscall.EMFILE)); err == nil || calls >= many {
+		if err := oserror.RetryShortage(t.Context(), failing(maxCalls, syscall.EMFILE)); err == nil || calls >= maxCalls {
 			t.Errorf("%v after %d calls", err, calls)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		if err := oserror.RetryShortage(ctx, failing(many, syscall.EMFILE)); err == nil || calls != 1 {
+		if err := oserror.RetryShortage(ctx, failing(maxCalls, syscall.EMFILE)); err == nil || calls != 1 {
 			t.Errorf("%v after %d calls with an ended context", err, calls)
 		}
 	})
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -51,7 +51,7 @@
 		return policy.Idempotent
 	case RepeatDeduplicated:
 		return policy.IdempotentByKey
-	default: // RepeatAtMostOnce
+	default: // RepeatAtMostOnce and unknown values
 		return policy.NonIdempotent
 	}
 }
@@ -63,7 +63,7 @@
 		return policy.KeyScopeZone
 	case GroupCell:
 		return policy.KeyScopeCell
-	default: // GroupAll
+	default: // GroupAll and unknown values
 		return policy.KeyScopeFleet
 	}
 }
--- a/internal/simwire/codes.go
+++ b/internal/simwire/codes.go
@@ -64,19 +64,19 @@
 // actionCode identifies the action that a record holds.
 type actionCode uint8
 
-// The action codes. Each comment is the protocol's name of the code.
+// The action codes. Each comment states the protocol's name of the code.
 const (
-	actionForward        actionCode = 0  // Send
-	actionReject         actionCode = 1  // Refuse
-	actionFail           actionCode = 2  // ReportFailure
-	actionCancelAttempt  actionCode = 3  // CallOff
-	actionStartTimer     actionCode = 4  // SetTimer
-	actionHealthCheck    actionCode = 5  // HealthCheck
-	actionCloseIdle      actionCode = 6  // HangUp
-	actionSendToPeer     actionCode = 7  // Tell
-	actionLog            actionCode = 8  // Emit
-	actionReportPanic    actionCode = 9  // BailOut
-	actionWatchEndpoints actionCode = 10 // Track
-	actionFetchEndpoints actionCode = 11 // Resolve
-	actionAddToCounter   actionCode = 12 // Add
+	actionForward        actionCode = 0  // protocol: Send
+	actionReject         actionCode = 1  // protocol: Refuse
+	actionFail           actionCode = 2  // protocol: ReportFailure
+	actionCancelAttempt  actionCode = 3  // protocol: CallOff
+	actionStartTimer     actionCode = 4  // protocol: SetTimer
+	actionHealthCheck    actionCode = 5  // protocol: HealthCheck
+	actionCloseIdle      actionCode = 6  // protocol: HangUp
+	actionSendToPeer     actionCode = 7  // protocol: Tell
+	actionLog            actionCode = 8  // protocol: Emit
+	actionReportPanic    actionCode = 9  // protocol: BailOut
+	actionWatchEndpoints actionCode = 10 // protocol: Track
+	actionFetchEndpoints actionCode = 11 // protocol: Resolve
+	actionAddToCounter   actionCode = 12 // protocol: Add
 )
