--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -16,13 +16,13 @@
 	"springfield/internal/testkit"
 )
 
-// fileFor returns a configuration file with one class and one plan.
-func fileFor(name, discovery, class string) string {
+// configText returns the text of a configuration file with one class and one plan.
+func configText(name, discovery, class string) string {
 	return `{"name":"` + name + `","discovery":"` + discovery + `","settings":{"Classes":[{"Name":"` + class +
 		`","Repeat":"idempotent"}],"Contracts":[{"Name":"team"}]}}`
 }
 
-// lineWriter sends each line of the log to a channel.
+// lineWriter sends each line of a log to a channel.
 type lineWriter chan<- string
 
 func (w lineWriter) Write(text []byte) (int, error) {
@@ -38,17 +38,17 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(lineWriter(lines), nil)))
 	t.Cleanup(func() {
 		slog.SetDefault(logger)
-		log.SetOutput(output) // SetDefault has redirected package log, too
+		log.SetOutput(output) // slog.SetDefault has also redirected package log
 		log.SetFlags(flags)
 	})
 	return lines
 }
 
-// A file that is broken, half written or another deployment's leaves the last good configuration in force, with one
-// line in the log. One that was just being written is applied once it is complete.
+// A file that is invalid, incomplete or belongs to another deployment must leave the last valid configuration active,
+// with one line in the log. A file whose write completes during the retries must be applied without another signal.
 func TestUnusableFilesAreNotApplied(t *testing.T) {
 	lines := captureLog(t)
-	path := newFile(t, fileFor("n1", "127.0.0.1:1", "lookup"))
+	path := newFile(t, configText("n1", "127.0.0.1:1", "lookup"))
 	current, err := read(path)
 	if err != nil {
 		t.Fatal(err)
@@ -56,10 +56,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	signals, applied, ended := make(chan os.Signal), make(chan *Config, 1), make(chan struct{})
 	go func() {
-		Follow(ctx, current, signals, func(fresh *Config, _ time.Time) { applied <- fresh })
+		ReloadOnSignal(ctx, current, signals, func(reloaded *Config, _ time.Time) { applied <- reloaded })
 		close(ended)
 	}()
-	t.Cleanup(func() { cancel(); testkit.WaitFor(t, "the end of Follow", ended) })
+	t.Cleanup(func() { cancel(); testkit.WaitFor(t, "the end of ReloadOnSignal", ended) })
 	wantLine := func(want string) {
 		t.Helper()
 		if got := testkit.Receive(t, "a line with "+want, lines); !strings.Contains(got, want) {
@@ -67,11 +67,11 @@
 		}
 	}
 
-	complete := fileFor("n1", "127.0.0.1:2", "lookup")
+	complete := configText("n1", "127.0.0.1:2", "lookup")
 	for _, unusable := range []string{
 		"", "{", complete[:len(complete)/2], `{"name":"n1"}`,
-		fileFor("n2", "127.0.0.1:9", "lookup"),
-		fileFor("n1", "127.0.0.1:9", "search"),
+		configText("n2", "127.0.0.1:9", "lookup"),
+		configText("n1", "127.0.0.1:9", "search"),
 		strings.Replace(complete, "idempotent", "at_most_once", 1),
 		strings.Replace(complete, "team", "pro", 1),
 	} {
@@ -82,17 +82,17 @@
 			t.Errorf("%s: applied %+v", unusable, <-applied)
 		}
 	}
-	writeFile(t, path, complete) // without another signal
+	writeFile(t, path, complete) // the retries must read it without another signal
 	wantLine(`level=INFO msg="configuration reloaded" discovery=127.0.0.1:2`)
-	if fresh := testkit.Receive(t, "the configuration", applied); fresh.Discovery != "127.0.0.1:2" {
-		t.Errorf("applied %+v", fresh)
+	if reloaded := testkit.Receive(t, "the configuration", applied); reloaded.Discovery != "127.0.0.1:2" {
+		t.Errorf("applied %+v", reloaded)
 	}
 }
 
-// A file that cannot be used is read again for two seconds, which is logged once. Later it takes another signal, which
-// begins anew.
-func TestRereadsEndAfterTwoSeconds(t *testing.T) {
-	path := newFile(t, fileFor("n1", "127.0.0.1:1", "lookup"))
+// An unusable file must be retried for two seconds and logged once. After that, only another signal may cause a reload,
+// and that signal starts new retries.
+func TestRetriesEndAfterTwoSeconds(t *testing.T) {
+	path := newFile(t, configText("n1", "127.0.0.1:1", "lookup"))
 	current, err := read(path)
 	if err != nil {
 		t.Fatal(err)
@@ -102,30 +102,30 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		signals, applied, ended := make(chan os.Signal), make(chan *Config, 1), make(chan struct{})
 		go func() {
-			Follow(ctx, current, signals, func(fresh *Config, _ time.Time) { applied <- fresh })
+			ReloadOnSignal(ctx, current, signals, func(reloaded *Config, _ time.Time) { applied <- reloaded })
 			close(ended)
 		}()
 		writeFile(t, path, "{")
 		signals <- os.Interrupt
-		time.Sleep(maxRereads*rereadInterval + rereadInterval/2)
+		time.Sleep(maxRetries*retryInterval + retryInterval/2)
 		synctest.Wait()
 		if len(lines) != 1 {
 			t.Errorf("%d lines logged, want 1", len(lines))
 		}
-		writeFile(t, path, fileFor("n1", "127.0.0.1:2", "lookup"))
+		writeFile(t, path, configText("n1", "127.0.0.1:2", "lookup"))
 		time.Sleep(time.Minute)
 		if len(applied) != 0 || len(lines) != 1 {
-			t.Errorf("applied %d configurations with no signal; %d lines logged", len(applied), len(lines))
+			t.Errorf("applied %d configurations without a signal; %d lines logged", len(applied), len(lines))
 		}
 		writeFile(t, path, "{")
 		signals <- os.Interrupt
 		synctest.Wait()
 		if len(lines) != 2 {
-			t.Errorf("%d lines logged, want another one", len(lines))
+			t.Errorf("%d lines logged, want 2", len(lines))
 		}
-		writeFile(t, path, fileFor("n1", "127.0.0.1:2", "lookup"))
-		if fresh := <-applied; fresh.Discovery != "127.0.0.1:2" {
-			t.Errorf("applied %+v", fresh)
+		writeFile(t, path, configText("n1", "127.0.0.1:2", "lookup"))
+		if reloaded := <-applied; reloaded.Discovery != "127.0.0.1:2" {
+			t.Errorf("applied %+v", reloaded)
 		}
 		cancel()
 		<-ended
@@ -133,18 +133,18 @@
 }
 
 func TestReloadRejectsFilesOfAnotherGatewayOrDeployment(t *testing.T) {
-	path := newFile(t, fileFor("n1", "127.0.0.1:1", "lookup"))
+	path := newFile(t, configText("n1", "127.0.0.1:1", "lookup"))
 	current, err := read(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := fileFor("n1", "127.0.0.1:2", "lookup")
+	good := configText("n1", "127.0.0.1:2", "lookup")
 	for _, test := range []struct {
 		text string
 		want IncompatibleError
 	}{
-		{fileFor("n2", "127.0.0.1:2", "lookup"), IncompatibleError{Field: "name", Current: "n1", New: "n2"}},
-		{fileFor("n1", "127.0.0.1:2", "search"), IncompatibleError{Field: "class", Current: "lookup", New: "search"}},
+		{configText("n2", "127.0.0.1:2", "lookup"), IncompatibleError{Field: "name", Current: "n1", New: "n2"}},
+		{configText("n1", "127.0.0.1:2", "search"), IncompatibleError{Field: "class", Current: "lookup", New: "search"}},
 		{strings.Replace(good, "idempotent", "at_most_once", 1), IncompatibleError{
 			Field: "repeat rule of class lookup", Current: "idempotent", New: "at_most_once"}},
 		{strings.Replace(good, "team", "pro", 1), IncompatibleError{Field: "plan", Current: "team", New: "pro"}},
@@ -165,15 +165,15 @@
 		t.Errorf("without an address: %v", err)
 	}
 	writeFile(t, path, good)
-	if fresh, err := current.Reload(); err != nil || fresh.Discovery != "127.0.0.1:2" {
-		t.Errorf("%+v, %v", fresh, err)
+	if reloaded, err := current.Reload(); err != nil || reloaded.Discovery != "127.0.0.1:2" {
+		t.Errorf("%+v, %v", reloaded, err)
 	}
 }
 
-// A configuration that is complete only after rereads counts from the first signal that asked for it: the time that the
-// rereads take is missing later. The next signal begins anew.
-func TestReloadTellsWhenItWasAskedFor(t *testing.T) {
-	path := newFile(t, fileFor("n1", "127.0.0.1:1", "lookup"))
+// A configuration that becomes usable during the retries must carry the time of the first signal that requested it, or
+// the caller would not account for the time of the retries. The next signal must be timed by itself.
+func TestReloadReportsTimeOfFirstSignal(t *testing.T) {
+	path := newFile(t, configText("n1", "127.0.0.1:1", "lookup"))
 	current, err := read(path)
 	if err != nil {
 		t.Fatal(err)
@@ -182,24 +182,24 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		signals, applied, ended := make(chan os.Signal), make(chan time.Time, 1), make(chan struct{})
 		go func() {
-			Follow(ctx, current, signals, func(_ *Config, askedAt time.Time) { applied <- askedAt })
+			ReloadOnSignal(ctx, current, signals, func(_ *Config, requestedAt time.Time) { applied <- requestedAt })
 			close(ended)
 		}()
 		writeFile(t, path, "{")
 		first := time.Now()
 		signals <- os.Interrupt
-		time.Sleep(maxRereads / 2 * rereadInterval)
+		time.Sleep(maxRetries / 2 * retryInterval)
 		signals <- os.Interrupt
-		time.Sleep(maxRereads / 2 * rereadInterval)
-		writeFile(t, path, fileFor("n1", "127.0.0.1:2", "lookup"))
-		if askedAt := <-applied; !askedAt.Equal(first) {
-			t.Errorf("asked for %v after the first signal", askedAt.Sub(first))
+		time.Sleep(maxRetries / 2 * retryInterval)
+		writeFile(t, path, configText("n1", "127.0.0.1:2", "lookup"))
+		if requestedAt := <-applied; !requestedAt.Equal(first) {
+			t.Errorf("the reported time is %v after the first signal", requestedAt.Sub(first))
 		}
 		time.Sleep(time.Minute)
 		second := time.Now()
 		signals <- os.Interrupt
-		if askedAt := <-applied; !askedAt.Equal(second) {
-			t.Errorf("then asked for %v before the signal", second.Sub(askedAt))
+		if requestedAt := <-applied; !requestedAt.Equal(second) {
+			t.Errorf("the reported time is %v before the second signal", second.Sub(requestedAt))
 		}
 		cancel()
 		<-ended
