--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -85,5 +85,5 @@
 	if cfg.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(heapShare * float64(cfg.Limits.MemoryMB) * bytesPerMB))
 	}
-	return gateway.Run(ctx, cfg, reload, seams())
+	return gateway.Run(ctx, cfg, reload, networkHooks())
 }
--- /dev/null
+++ b/cmd/gateway/network_hooks_faultinjection.go
@@ -0,0 +1,17 @@
+//go:build faultinjection
+
+package main
+
+import (
+	"os"
+
+	"springfield/internal/faultinjection"
+	"springfield/internal/gateway"
+)
+
+// networkHooks returns hooks that make network calls fail as the control file says. An environment variable names that
+// file.
+func networkHooks() gateway.NetworkHooks {
+	injector := faultinjection.New(os.Getenv(faultinjection.ControlVariable))
+	return gateway.NetworkHooks{WrapListener: injector.Listener, Dial: injector.Dial}
+}
--- a/cmd/springfield/gateway_process.go
+++ b/cmd/springfield/gateway_process.go
@@ -43,5 +43,5 @@
 	if cfg.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(heapShare * float64(cfg.Limits.MemoryMB) * bytesPerMB))
 	}
-	return gateway.Run(ctx, cfg, reload, gateway.Seams{})
+	return gateway.Run(ctx, cfg, reload, gateway.NetworkHooks{})
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -76,9 +76,9 @@
 // StopAccepting makes Serve return once all connections that the machine has accepted are taken over.
 func (s *Server) StopAccepting() { s.listener.stop() }
 
-// Drained closes the connections between requests, and with force those on which one is incomplete, and reports whether
-// a drain is complete: no connection is left.
-func (s *Server) Drained(now time.Time, force bool) bool { return s.limiter.drained(now, force) }
+// ContinueDrain closes the connections that are between requests, and with force also those whose request is not
+// complete. It reports whether the drain is complete, which means that no connection is left.
+func (s *Server) ContinueDrain(now time.Time, force bool) bool { return s.limiter.drained(now, force) }
 
 // Close closes the listener and all connections.
 func (s *Server) Close() error { return s.http.Close() }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -26,11 +26,11 @@
 // firstListWait bounds how long readiness waits for the first answer of discovery.
 const firstListWait = 300 * time.Millisecond
 
-// Seams replace parts of a gateway that meet the operating system, in builds for soaks. The zero value replaces
-// nothing.
-type Seams struct {
-	Listener func(net.Listener) (net.Listener, error) // wraps the listener for clients
-	Dial     upstream.Dialer                          // opens connections to endpoints
+// NetworkHooks replace the calls of a gateway to the network. Soak tests inject faults through them. The zero value
+// replaces nothing.
+type NetworkHooks struct {
+	WrapListener func(net.Listener) (net.Listener, error) // wraps the listener for clients
+	Dial         upstream.Dialer                          // opens connections to endpoints
 }
 
 // options are the parts of a run that tests replace. The zero value is a production run.
@@ -51,7 +51,7 @@
 
 // Run serves clients until ctx ends. Then it drains: it goes on accepting connections for a short time, answers every
 // request that it has accepted, and returns. At each signal on reload it reads its configuration again.
-func Run(ctx context.Context, cfg *config.Config, reload <-chan os.Signal, seams Seams) error {
+func Run(ctx context.Context, cfg *config.Config, reload <-chan os.Signal, hooks NetworkHooks) error {
 	var listener net.Listener
 	err := oserror.RetryShortage(ctx, func() (err error) {
 		listener, err = net.Listen("tcp", cfg.Listen)
@@ -60,13 +60,13 @@
 	if err != nil {
 		return fmt.Errorf("listen for clients: %w", err)
 	}
-	if seams.Listener != nil {
-		if listener, err = seams.Listener(listener); err != nil {
+	if hooks.WrapListener != nil {
+		if listener, err = hooks.WrapListener(listener); err != nil {
 			return err
 		}
 	}
 	slog.Info("listening", "name", cfg.Name, "address", listener.Addr().String())
-	return run(ctx, cfg, listener, reload, options{dial: seams.Dial})
+	return run(ctx, cfg, listener, reload, options{dial: hooks.Dial})
 }
 
 // run is Run on a listener that is open already; it closes the listener.
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -44,7 +44,7 @@
 	// http.Server.Shutdown would close connections whose request is just being read.
 	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
-	for !parts.server.Drained(time.Now(), time.Now().After(answerBy.Add(exitMargin))) {
+	for !parts.server.ContinueDrain(time.Now(), time.Now().After(answerBy.Add(exitMargin))) {
 		<-poll.C
 	}
 	return parts.server.Close()
