--- a/internal/frontend/accept_errors.go
+++ b/internal/frontend/accept_errors.go
@@ -10,16 +10,16 @@
 	"springfield/internal/counters"
 )
 
-// Pauses before another call of accept after one that has failed. Clients wait in the machine's accept queue
-// meanwhile, so the pauses stay far below the shortest deadlines.
+// Bounds of the delay between a failed call of accept and the next call. Clients wait in the accept queue of the
+// operating system meanwhile, so the delay stays far below the shortest request deadline.
 const (
-	minAcceptPause = time.Millisecond
-	maxAcceptPause = 32 * time.Millisecond
+	minAcceptBackoff = time.Millisecond
+	maxAcceptBackoff = 32 * time.Millisecond
 )
 
-// acceptIsOver reports whether a listener can never accept again after the error. All other errors pass: accept(2)
-// reports errors of the connection that was to be accepted, and a lack of descriptors or memory.
-func acceptIsOver(err error) bool {
+// isPermanentAcceptError reports whether a listener can never accept again after the error. All other errors are
+// temporary: accept(2) also reports errors of the pending connection and shortages of descriptors or memory.
+func isPermanentAcceptError(err error) bool {
 	for _, final := range [...]error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK} {
 		if errors.Is(err, final) {
 			return true
@@ -28,20 +28,21 @@
 	return false
 }
 
-// acceptRetry paces the calls of accept while they fail.
-type acceptRetry struct {
-	pause time.Duration // before the next call; 0: the last one succeeded
+// acceptBackoff delays the calls of accept exponentially while they fail.
+type acceptBackoff struct {
+	delay time.Duration // delay after the last failure; 0 after a success
 }
 
-// succeeded ends a series of failures.
-func (r *acceptRetry) succeeded() { r.pause = 0 }
+// reset clears the delay after a successful call.
+func (r *acceptBackoff) reset() { r.delay = 0 }
 
-// wait pauses after a failure, longer each time in a row. The first failure of a series is logged.
-func (r *acceptRetry) wait(err error) {
+// wait sleeps after a failed call and doubles the delay with each consecutive failure. It logs the first failure of a
+// series.
+func (r *acceptBackoff) wait(err error) {
 	counters.Count(counters.AcceptFailed, "")
-	if r.pause == 0 {
+	if r.delay == 0 {
 		slog.Warn("accept failed", "err", err)
 	}
-	r.pause = min(maxAcceptPause, max(minAcceptPause, 2*r.pause))
-	time.Sleep(r.pause)
+	r.delay = min(maxAcceptBackoff, max(minAcceptBackoff, 2*r.delay))
+	time.Sleep(r.delay)
 }
--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// A body must have arrived at the later of these times after its connection was accepted and after its head was read.
+// Time limits for a request body. The later of the two resulting deadlines applies.
 const (
-	bodyTimeoutFromAccept = 2700 * time.Millisecond
-	bodyTimeoutFromHead   = time.Second
+	bodyTimeoutFromAccept = 2700 * time.Millisecond // from accepting the connection
+	bodyTimeoutFromHead   = time.Second             // from reading the request head
 )
 
-// readBody reads the body of a request whose length has been checked. Its errors are of type *RequestError.
+// readBody reads the body of a request whose Content-Length has been validated. Its errors are of type *RequestError.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
@@ -36,6 +36,7 @@
 	return body, nil
 }
 
+// bodyDeadline returns the time by which the body of a request must have arrived.
 func bodyDeadline(r *http.Request) time.Time {
 	deadline := time.Now().Add(bodyTimeoutFromHead)
 	if conn := connectionOf(r); conn != nil {
--- a/internal/frontend/boundary.go
+++ b/internal/frontend/boundary.go
@@ -1,41 +1,42 @@
 package frontend
 
-// requestBoundary follows the bytes of a connection to tell where the present request ends. net/http reads through a
-// buffer that may take in a part of the next request, and nothing tells that such bytes are there: a connection would
-// count as idle with a request in the buffer. Here no byte is passed on before the request that it belongs to.
+// requestBoundary tracks where the current request on a connection ends. net/http reads through a buffer that may take
+// in a part of the next request, and it does not report such bytes, so a connection with a request in that buffer would
+// count as idle. With requestBoundary the connection withholds the bytes of the next request until the current one has
+// been answered.
 //
-// Where the end of a request is uncertain all bytes are passed on; the connection closes after the response to such a
-// request.
+// If the end of a request is unknown, all bytes are passed on, and the connection closes after the response.
 type requestBoundary struct {
-	phase      readPhase
-	lineLength int   // of the present line of the head, without its end
-	anyLine    bool  // a line that is not empty has come
-	bodyLeft   int64 // bytes of the body that have not been passed on
+	phase         readPhase
+	lineLength    int   // length of the current line of the head, without CR and LF
+	sawLine       bool  // a non-empty line has been read
+	bodyRemaining int64 // bytes of the body that have not been passed on yet
 }
 
-// readPhase is the part of a request that a connection is in.
+// readPhase is the part of the current request that a connection has reached.
 type readPhase uint8
 
 const (
-	phaseHead     readPhase = iota // the head is not complete
-	phaseHeadDone                  // the head is complete and has not been claimed
-	phaseBody                      // bytes of the body are missing
-	phaseComplete                  // the request is complete
-	phaseUnknown                   // the request has no definite end
+	phaseHead         readPhase = iota // the head is not complete
+	phaseHeadComplete                  // the head is complete; beginBody has not been called
+	phaseBody                          // the head is complete, the body is not
+	phaseComplete                      // the request is complete
+	phaseUnknown                       // the length of the body is unknown
 )
 
-// advance returns how many of the bytes belong to the present request, at least one unless there are none.
+// advance consumes bytes of the connection and returns how many of them belong to the current request. The result is
+// at least 1 unless bytes is empty.
 func (b *requestBoundary) advance(bytes []byte) int {
 	switch b.phase {
-	case phaseHeadDone: // net/http takes the head for longer, and knows better
+	case phaseHeadComplete: // net/http reads on, so for net/http the head is incomplete
 		b.beginHead()
 		return b.advanceHead(bytes)
 	case phaseHead:
 		return b.advanceHead(bytes)
 	case phaseBody:
-		n := int(min(int64(len(bytes)), b.bodyLeft))
-		b.bodyLeft -= int64(n)
-		if b.bodyLeft == 0 {
+		n := int(min(int64(len(bytes)), b.bodyRemaining))
+		b.bodyRemaining -= int64(n)
+		if b.bodyRemaining == 0 {
 			b.phase = phaseComplete
 		}
 		return n
@@ -44,30 +45,30 @@
 	}
 }
 
-// advanceHead looks for the empty line that ends a head. Empty lines before the first one do not.
+// advanceHead looks for the empty line that ends a head. Empty lines before the request line are skipped.
 func (b *requestBoundary) advanceHead(bytes []byte) int {
 	for i, char := range bytes {
 		switch {
 		case char != '\n' && char != '\r':
 			b.lineLength++
 		case char == '\n':
-			if b.lineLength == 0 && b.anyLine {
-				b.phase = phaseHeadDone
+			if b.lineLength == 0 && b.sawLine {
+				b.phase = phaseHeadComplete
 				return i + 1
 			}
-			b.anyLine = b.anyLine || b.lineLength > 0
+			b.sawLine = b.sawLine || b.lineLength > 0
 			b.lineLength = 0
 		}
 	}
 	return len(bytes)
 }
 
-// beginHead begins the next request.
+// beginHead resets the state for the next request.
 func (b *requestBoundary) beginHead() { *b = requestBoundary{} }
 
-// beginBody tells the length of the body once the head is known; below zero it is not.
+// beginBody sets the length of the body once net/http has parsed the head. A negative length means that it is unknown.
 func (b *requestBoundary) beginBody(length int64) {
-	b.bodyLeft = length
+	b.bodyRemaining = length
 	switch {
 	case length < 0:
 		b.phase = phaseUnknown
--- a/internal/frontend/boundary_test.go
+++ b/internal/frontend/boundary_test.go
@@ -22,7 +22,7 @@
 				for len(part) > 0 && (boundary.phase == phaseHead || boundary.phase == phaseBody) {
 					n := boundary.advance(part)
 					passed, part = passed+n, part[n:]
-					if boundary.phase == phaseHeadDone {
+					if boundary.phase == phaseHeadComplete {
 						if passed != len(first) {
 							t.Fatalf("split at %d: the head ends at %d, want %d", split, passed, len(first))
 						}
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -16,58 +16,59 @@
 )
 
 const (
-	// maxReadAhead bounds the bytes that are read ahead on a connection while a request is open. The protocol's clients
-	// send one request at a time, and what does not fit waits in the receive buffer.
+	// maxReadAhead is the number of bytes after which reading ahead on a connection stops while a request is open.
+	// Clients of the protocol send one request at a time, and further bytes wait in the receive buffer of the socket.
 	maxReadAhead = 4 << 10
 
-	readAheadChunk = 512
+	readAheadChunk = 512 // bytes
 )
 
-// connectionState is what a connection is in the middle of, as far as its bytes have been read.
+// connectionState is the state of a client connection, according to the bytes that have been read from it.
 type connectionState uint8
 
 const (
 	stateNew         connectionState = iota // nothing has been read yet
-	stateReadingHead                        // a part of the first head
-	stateActive                             // a request whose head is complete, or a part of one that is not the first
-	stateIdle                               // between two requests
-	stateClosing                            // to be closed by its own goroutine unless that has read something
-	stateEvicted                            // closed by the limiter
+	stateReadingHead                        // a part of the first request head has been read
+	stateActive                             // a head is complete, or a part of a further request has been read
+	stateIdle                               // waits for a further request
+	stateClosing                            // its own goroutine closes it unless bytes arrive before that
+	stateClosed                             // closed, or about to be closed, and not counted any more
 )
 
-// clientConn is a client's connection.
+// clientConn is a connection of a client.
 //
-// While a request is open, net/http reads a single byte in the background to see the client disconnect, and it reads
-// through a larger buffer otherwise. It stops watching at the first byte, so a client that sends anything after its
-// request could not be seen to disconnect: here the watch goes on and keeps what it reads.
+// While a request is open, net/http reads a single byte in the background to detect that the client disconnects; all
+// its other reads use a larger buffer. It stops this detection at the first byte, so it would not notice the disconnect
+// of a client that has sent anything after its request. clientConn therefore goes on reading and stores what it reads.
 type clientConn struct {
 	*net.TCPConn
 	limiter    *connectionLimiter
 	acceptedAt time.Time
 
-	// The limiter's mutex guards these.
-	state        connectionState
-	resumeState  connectionState // of a connection that is closing: its state before
-	closeReason  counters.Event  // of a connection that is closing
-	since        time.Time       // when the connection was accepted or became idle, or unread bytes were last seen on it
-	readDeadline time.Time       // as it was set last, also while the connection is closing
+	// connectionLimiter.mu guards the following fields.
+	state            connectionState
+	stateBeforeClose connectionState // state before stateClosing
+	closeReason      counters.Event  // event that is counted when a connection in stateClosing is closed
+	stateSince       time.Time       // time of accept, of becoming idle, or of the last detection of unread bytes
+	readDeadline     time.Time       // last deadline that was set; not in force in stateClosing
 
-	// The goroutine that serves the connection owns these, and its background reader while a request is open.
-	boundary  requestBoundary
-	headRead  bool      // the head of the present request is complete: a read of one byte is net/http's watch
-	headBy    time.Time // when the head of a further request must be complete; zero: none has begun
-	readAhead []byte    // read, and not passed on yet
-	owed      string    // id of the request that has been read and not answered; "": there is none
-	ending    counters.Event
+	// The goroutine that serves the connection owns the following fields. While a request is open, the background
+	// reader of net/http owns those for reading.
+	boundary     requestBoundary
+	headRead     bool           // the current head is complete; one-byte reads are the disconnect detection of net/http
+	headDeadline time.Time      // time limit for the head of a further request; zero if none has begun
+	readAhead    []byte         // bytes that were read from the socket and not passed to net/http yet
+	unansweredID string         // id of the request that was read and not answered yet, or ""
+	closeEvent   counters.Event // event that is counted unless the limiter closes the connection
 
-	readAheadLength atomic.Int32 // of readAhead, for other goroutines
+	readAheadLength atomic.Int32 // length of readAhead, for other goroutines
 }
 
-// Read passes on the bytes that were read ahead before it reads the connection, and none of the next request. Bytes
-// that arrive while the connection is being evicted are not read.
+// Read returns bytes of the current request only. Bytes that were read ahead come before those of the socket. It fails
+// with net.ErrClosed if the limiter has closed the connection.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if len(p) == 1 && c.headRead {
-		return 0, c.watch()
+		return 0, c.watchForDisconnect()
 	}
 	n := c.takeReadAhead(p)
 	var err error
@@ -77,24 +78,24 @@
 	if n == 0 {
 		return 0, err
 	}
-	began, ok := c.limiter.recordRead(c, c.headRead)
+	requestBegan, ok := c.limiter.recordRead(c, c.headRead)
 	if !ok {
 		return 0, net.ErrClosed
 	}
-	if began {
-		c.beginFurtherRequest()
+	if requestBegan {
+		c.limitHeadTime()
 	}
 	return n, err
 }
 
-// advance returns how many of the bytes belong to the present request.
+// advance updates the request boundary and returns how many of the bytes belong to the current request.
 func (c *clientConn) advance(bytes []byte) int {
 	n := c.boundary.advance(bytes)
 	c.headRead = c.boundary.phase != phaseHead
 	return n
 }
 
-// takeReadAhead passes on bytes of the present request that were read ahead.
+// takeReadAhead moves bytes of the current request from the read-ahead buffer to p and returns their number.
 func (c *clientConn) takeReadAhead(p []byte) int {
 	if len(c.readAhead) == 0 {
 		return 0
@@ -103,7 +104,7 @@
 	copy(p, c.readAhead[:n])
 	rest := c.readAhead[n:]
 	if len(rest) == 0 {
-		c.readAhead = nil // an idle connection holds no buffer
+		c.readAhead = nil // an idle connection keeps no buffer
 	} else {
 		c.readAhead = append(c.readAhead[:0], rest...)
 	}
@@ -111,12 +112,13 @@
 	return n
 }
 
-// readSocket reads the connection and keeps what belongs to the next request. If the limiter has interrupted it to
-// close the connection, it is this goroutine that does so: it alone knows that it has read nothing.
+// readSocket reads from the socket and stores the bytes that belong to the next request. If the limiter interrupts the
+// read in order to close the connection, this goroutine closes it, because only this goroutine knows that it has read
+// nothing.
 func (c *clientConn) readSocket(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	for n <= 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		closed, interrupted := c.limiter.resolveClose(c)
+		closed, interrupted := c.limiter.finishClose(c)
 		switch {
 		case closed:
 			return 0, net.ErrClosed
@@ -128,13 +130,13 @@
 	if n <= 0 {
 		return 0, err
 	}
-	own := c.advance(p[:n])
-	c.keep(p[own:n])
-	return own, err
+	current := c.advance(p[:n])
+	c.storeReadAhead(p[current:n])
+	return current, err
 }
 
-// keep appends bytes to those that were read ahead.
-func (c *clientConn) keep(bytes []byte) {
+// storeReadAhead appends bytes to the read-ahead buffer.
+func (c *clientConn) storeReadAhead(bytes []byte) {
 	if len(bytes) == 0 {
 		return
 	}
@@ -142,33 +144,34 @@
 	c.readAheadLength.Store(int32(len(c.readAhead)))
 }
 
-// beginFurtherRequest limits the time for a head from its first byte on. net/http begins to count at the fourth, and
-// leaves the time of an idle connection for the bytes before it.
-func (c *clientConn) beginFurtherRequest() {
-	c.headBy = time.Now().Add(headerTimeout)
-	_ = c.limiter.setReadDeadline(c, c.headBy) // fails only on a closed connection, on which reads end by themselves
+// limitHeadTime limits the time for the head of a further request from its first byte on. net/http applies its header
+// timeout only from the fourth byte on, and the longer idle timeout before that.
+func (c *clientConn) limitHeadTime() {
+	c.headDeadline = time.Now().Add(headerTimeout)
+	_ = c.limiter.setReadDeadline(c, c.headDeadline) // fails only on a closed connection, on which reads fail too
 }
 
-// SetReadDeadline sets the time limit for reads. While the head of a further request is read that is at most headBy: a
-// deadline within headerTimeout is net/http's for the head, and a later one, or none, comes once the head is complete.
+// SetReadDeadline sets the deadline for reads. While the head of a further request is being read, the deadline is at
+// most headDeadline. A deadline within headerTimeout is the one that net/http sets for the head; it sets a later
+// deadline, or none, once the head is complete.
 func (c *clientConn) SetReadDeadline(deadline time.Time) error {
-	if !c.headBy.IsZero() {
+	if !c.headDeadline.IsZero() {
 		if deadline.IsZero() || time.Until(deadline) > headerTimeout {
-			c.headBy = time.Time{}
-		} else if deadline.After(c.headBy) {
-			deadline = c.headBy
+			c.headDeadline = time.Time{}
+		} else if deadline.After(c.headDeadline) {
+			deadline = c.headDeadline
 		}
 	}
 	return c.limiter.setReadDeadline(c, deadline)
 }
 
-// watch reads ahead until net/http ends that with a deadline or the client disconnects. Past maxReadAhead it reads no
-// more and goes on to watch.
-func (c *clientConn) watch() error {
+// watchForDisconnect reads ahead until the client disconnects or net/http interrupts it with a deadline. After
+// maxReadAhead bytes it stops reading and only waits for the disconnect.
+func (c *clientConn) watchForDisconnect() error {
 	var chunk [readAheadChunk]byte
 	for len(c.readAhead) <= maxReadAhead {
 		n, err := c.TCPConn.Read(chunk[:])
-		c.keep(chunk[:n])
+		c.storeReadAhead(chunk[:n])
 		if err != nil {
 			return err
 		}
@@ -176,64 +179,66 @@
 	return c.awaitDisconnect()
 }
 
-// awaitDisconnect waits until the client disconnects, without reading what it has sent, or until a deadline.
+// awaitDisconnect waits until the client disconnects or the read deadline passes, without reading what the client has
+// sent.
 func (c *clientConn) awaitDisconnect() error {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return err
 	}
-	// The function is called again whenever the state of the socket changes.
+	// raw.Read calls hasHungUp again whenever the state of the socket changes.
 	if err := raw.Read(hasHungUp); err != nil {
 		return err
 	}
 	return io.EOF
 }
 
-// Close closes the connection and makes room for another. It is the guard that no request is left without its answer.
+// Close closes the connection and removes it from the limiter. It reports an invariant violation if a request on the
+// connection has not been answered.
 func (c *clientConn) Close() error {
-	if c.owed != "" {
-		invariant.Violated(invariant.Closing, c.owed, "its connection closes without an answer")
+	if c.unansweredID != "" {
+		invariant.Violated(invariant.Closing, c.unansweredID, "the connection closes before the request is answered")
 	}
 	if c.limiter.remove(c) {
-		counters.Count(c.ending, "")
+		counters.Count(c.closeEvent, "")
 	}
 	return c.TCPConn.Close()
 }
 
-// owe notes that a request has been read.
-func (c *clientConn) owe(id string) { c.owed = id }
+// markUnanswered records that a request has been read and must be answered.
+func (c *clientConn) markUnanswered(id string) { c.unansweredID = id }
 
-// answered notes that the answer to the request has been handed to net/http.
-func (c *clientConn) answered() { c.owed, c.ending = "", counters.CloseLast }
+// markAnswered records that the response to the request is being handed to net/http.
+func (c *clientConn) markAnswered() { c.unansweredID, c.closeEvent = "", counters.CloseLast }
 
-// abandon notes that the client has gone and gets no answer.
-func (c *clientConn) abandon() { c.owed, c.ending = "", counters.CloseClientGone }
+// markAbandoned records that the client has disconnected and gets no response.
+func (c *clientConn) markAbandoned() { c.unansweredID, c.closeEvent = "", counters.CloseClientGone }
 
-// claim is called when the head of a request is complete, with the length of its body, below zero if that is not known:
-// from now on the connection is kept until the response. It reports false if the connection has been evicted.
-func (c *clientConn) claim(bodyLength int64) bool {
+// beginRequest is called when the head of a request is complete. bodyLength is negative if it is unknown. From then on
+// the limiter keeps the connection open until the response. It returns false if the connection is closed already.
+func (c *clientConn) beginRequest(bodyLength int64) bool {
 	c.boundary.beginBody(bodyLength)
-	return c.limiter.claim(c)
+	return c.limiter.beginRequest(c)
 }
 
-// beginIdle is called when a request has been answered and the connection is kept for another.
+// beginIdle is called when a request has been answered and the connection stays open for a further one.
 func (c *clientConn) beginIdle() {
 	c.boundary.beginHead()
 	c.headRead = false
-	c.headBy = time.Time{}
-	c.ending = counters.CloseByTimeout
+	c.headDeadline = time.Time{}
+	c.closeEvent = counters.CloseByTimeout
 	c.limiter.beginIdle(c)
 }
 
-// closedByClient reports whether the client has closed the connection, or its sending side, also behind bytes that have
-// not been read.
+// closedByClient reports whether the client has closed the connection or its sending side, even if unread bytes precede
+// the end of the stream.
 func (c *clientConn) closedByClient() bool {
 	n, err := c.peek()
 	if n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET) {
 		return true
 	}
 	if n == 0 {
-		return false // nothing waits, and nothing can hide the end
+		return false // the receive buffer is empty, so no unread bytes precede an end of the stream
 	}
 	closed := false
 	raw, err := c.SyscallConn()
@@ -243,8 +248,8 @@
 	return closed || err != nil
 }
 
-// hasUnread reports whether the client has sent bytes that net/http has not read. Closing the connection would reset
-// it, and a request among the bytes would get no response.
+// hasUnread reports whether the client has sent bytes that net/http has not read. Closing the connection would then
+// reset it, and a request in these bytes would get no response.
 func (c *clientConn) hasUnread() bool {
 	if c.readAheadLength.Load() > 0 {
 		return true
@@ -253,8 +258,8 @@
 	return err == nil && n > 0
 }
 
-// peek looks for bytes in the receive buffer without removing them. It counts one byte at most; no byte and no error
-// mean that the client has closed the connection.
+// peek checks the receive buffer for bytes without removing them. It returns 1 if there are any. 0 without an error
+// means that the client has closed the connection.
 func (c *clientConn) peek() (n int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -270,14 +275,15 @@
 	return n, err
 }
 
-// connectionKey is the context key of a request's connection.
+// connectionKey is the context key for the connection of a request.
 type connectionKey struct{}
 
+// withConnection is the ConnContext hook of http.Server. It stores the connection in the context of its requests.
 func withConnection(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, conn)
 }
 
-// connectionOf returns the connection of a request, or nil if it did not come through a limitedListener.
+// connectionOf returns the connection of a request, or nil if no limitedListener accepted it.
 func connectionOf(r *http.Request) *clientConn {
 	conn, _ := r.Context().Value(connectionKey{}).(*clientConn)
 	return conn
--- a/internal/frontend/connection_test.go
+++ b/internal/frontend/connection_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	read(first)
-	if !conn.claim(int64(len(body))) {
+	if !conn.beginRequest(int64(len(body))) {
 		t.Fatal("the connection is evicted")
 	}
 	read(body)
@@ -51,14 +51,14 @@
 	closes := func(prepare func(*clientConn)) (violation any) {
 		defer func() { violation = recover() }()
 		conn, _ := acceptOne(t, newTestListener(t))
-		conn.owe("a")
+		conn.markUnanswered("a")
 		prepare(conn)
 		if err := conn.Close(); err != nil {
 			t.Error(err)
 		}
 		return nil
 	}
-	if closes((*clientConn).answered) != nil || closes((*clientConn).abandon) != nil {
+	if closes((*clientConn).markAnswered) != nil || closes((*clientConn).markAbandoned) != nil {
 		t.Error("a violation though nothing is owed")
 	}
 	if closes(func(*clientConn) {}) == nil {
--- a/internal/frontend/forward.go
+++ b/internal/frontend/forward.go
@@ -7,21 +7,21 @@
 	"net/http"
 )
 
-// forwardedHeaders are passed on to the endpoint unchanged.
+// forwardedHeaders lists the request headers that are passed on to the endpoint unchanged.
 var forwardedHeaders = []string{"Req-Id", "Idempotency-Key", "Content-Type"}
 
 // noUserAgent keeps net/http from adding its own User-Agent header. It is never modified.
 var noUserAgent = []string{""}
 
-// upstreamHeaderCount is for the headers above and the deadline that the attempt adds.
-const upstreamHeaderCount = 6
+// upstreamHeaderCapacity has room for the forwarded headers, User-Agent and the deadline that the attempt adds.
+const upstreamHeaderCapacity = 6
 
-// fallbackHost is the host of a request of HTTP/1.0, which may have none.
+// fallbackHost is the Host of a forwarded request whose client sent none, which HTTP/1.0 allows.
 const fallbackHost = "localhost"
 
-// newUpstreamRequest returns the request that one attempt sends to an endpoint.
+// newUpstreamRequest returns the request that an attempt sends to an endpoint.
 func newUpstreamRequest(r *http.Request, body []byte) *http.Request {
-	header := make(http.Header, upstreamHeaderCount)
+	header := make(http.Header, upstreamHeaderCapacity)
 	for _, name := range forwardedHeaders {
 		if values := r.Header[name]; values != nil {
 			header[name] = values
@@ -40,5 +40,5 @@
 		request.Body = io.NopCloser(bytes.NewReader(body))
 		request.ContentLength = int64(len(body))
 	}
-	return request.WithContext(r.Context()) // it ends when the client has gone
+	return request.WithContext(r.Context()) // the context ends when the client disconnects
 }
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -17,27 +17,27 @@
 	"springfield/policy"
 )
 
-// errorReadTimeout is for how long the rest of a bad request's body may still arrive. Without it the client would see
-// a reset before it has read the error response.
+// errorReadTimeout limits how long the rest of an invalid request's body is read. If the body were not read, the client
+// would get a connection reset before it has read the error response.
 const errorReadTimeout = 300 * time.Millisecond
 
 const healthPath = "/health/ready"
 
-// Header values that many responses share. They are never modified.
+// Header values that responses share. They must not be modified.
 var (
 	connectionClose = []string{"close"}
-	noLength        = []string{"0"}
+	zeroLength      = []string{"0"}
 )
 
-// Engine decides what happens to requests. It is implemented by eventloop.Loop.
+// Engine decides how requests are handled. eventloop.Loop implements it.
 type Engine interface {
 	Submit(call *eventloop.Call)
 	FinishAttempt(call *eventloop.Call, result upstream.Result)
 	DisconnectClient(call *eventloop.Call)
 }
 
-// handler serves requests. The goroutine of each request carries out the commands for it, so that an attempt needs no
-// goroutine of its own.
+// handler serves requests. The goroutine of each request carries out the commands for that request, so attempts need no
+// goroutines of their own.
 type handler struct {
 	clock    clock.Clock
 	engine   Engine
@@ -58,13 +58,13 @@
 	}
 }
 
-// ServeHTTP serves one request. It panics with http.ErrAbortHandler, which closes the connection, where no response
-// may be sent.
+// ServeHTTP serves one request. If no response may be sent, it panics with http.ErrAbortHandler, which closes the
+// connection.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	receivedAt := h.clock.Now()
 	conn := connectionOf(r)
-	if conn != nil && !conn.claim(bodyLength(r)) {
-		invariant.Violated(invariant.Starting, r.Header.Get("Req-Id"), "its connection is closed")
+	if conn != nil && !conn.beginRequest(bodyLength(r)) {
+		invariant.Violated(invariant.Starting, r.Header.Get("Req-Id"), "the request starts on a closed connection")
 		panic(http.ErrAbortHandler)
 	}
 	if err := checkFraming(r); err != nil {
@@ -86,17 +86,17 @@
 		return
 	}
 	if conn != nil && conn.closedByClient() {
-		conn.abandon()
+		conn.markAbandoned()
 		counters.Count(counters.RequestAbandoned, parsed.id)
-		panic(http.ErrAbortHandler) // the request was read only after its client had given up
+		panic(http.ErrAbortHandler) // the client disconnected before its request was read
 	}
 	if !h.open.add(parsed.id) {
-		h.respondError(w, r, &RequestError{http.StatusConflict, "a request with this id is open"})
+		h.respondError(w, r, &RequestError{http.StatusConflict, "a request with the same id is open"})
 		return
 	}
 	defer h.open.remove(parsed.id)
 	if conn != nil {
-		conn.owe(parsed.id)
+		conn.markUnanswered(parsed.id)
 	}
 	call := eventloop.NewCall(parsed.id, parsed.request, parsed.deadline)
 	h.engine.Submit(call)
@@ -105,7 +105,7 @@
 	h.serveCall(w, r, call, body)
 }
 
-// bodyLength returns the length of a request's body, or -1 if it has no definite one.
+// bodyLength returns the length of a request's body, or -1 if it is unknown.
 func bodyLength(r *http.Request) int64 {
 	if checkFraming(r) != nil {
 		return -1
@@ -113,9 +113,10 @@
 	return r.ContentLength
 }
 
-// checkFraming rejects bodies without a definite length. Of a length beside a transfer coding net/http drops the length
-// without a trace, and the bytes after the last chunk may be another request. HTTP/1.0 has no transfer codings, and
-// net/http drops the coding there. The protocol's clients send lengths only.
+// checkFraming rejects bodies without a definite length, which allow request smuggling. If a request has both a
+// Content-Length and a Transfer-Encoding, net/http silently drops the length, and the bytes after the last chunk may be
+// another request. For HTTP/1.0, which has no transfer codings, net/http drops the Transfer-Encoding instead. Clients
+// of the protocol send a Content-Length only.
 func checkFraming(r *http.Request) error {
 	if r.TransferEncoding != nil || r.ContentLength != 0 && !r.ProtoAtLeast(1, 1) {
 		return badRequest("the body has no definite length")
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// serveCall carries out the commands for a call up to the response.
+// serveCall carries out the commands for a call until the response is sent.
 func (h *handler) serveCall(w http.ResponseWriter, r *http.Request, call *eventloop.Call, body []byte) {
 	for command := range call.Commands() {
 		switch command := command.(type) {
@@ -141,16 +142,17 @@
 			h.respond(w, r, http.StatusBadGateway, upstream.Response{})
 			return
 		case eventloop.Abandon:
-			// net/http would send an empty response. A client that has closed only its sending side would take that
-			// for a response of an endpoint.
+			// A plain return would make net/http send an empty response with status 200. A client that has closed
+			// only its sending side would take that for the response of an endpoint.
 			if conn := connectionOf(r); conn != nil {
-				conn.abandon()
+				conn.markAbandoned()
 			}
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
+// respondHealth responds to a health check.
 func (h *handler) respondHealth(w http.ResponseWriter, r *http.Request) {
 	status := http.StatusOK
 	if !h.ready.Load() || h.draining.Load() {
@@ -159,6 +161,7 @@
 	h.respond(w, r, status, upstream.Response{})
 }
 
+// respondRejected responds to a rejected request and tells the client when to retry.
 func (h *handler) respondRejected(w http.ResponseWriter, r *http.Request, retryAfter time.Duration) {
 	if retryAfter > 0 {
 		w.Header()["Retry-After"] = []string{strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64)}
@@ -166,7 +169,8 @@
 	h.respond(w, r, http.StatusServiceUnavailable, upstream.Response{})
 }
 
-// respondError responds to a bad request and closes its connection: where the next request begins is uncertain.
+// respondError responds to an invalid request and closes its connection, because the start of the next request is
+// uncertain.
 func (h *handler) respondError(w http.ResponseWriter, r *http.Request, err error) {
 	counters.Count(counters.RequestInvalid, r.Header.Get("Req-Id"))
 	status := http.StatusInternalServerError
@@ -175,42 +179,43 @@
 	}
 	w.Header()["Connection"] = connectionClose
 	if r.ContentLength != 0 {
-		// If it fails, the connection is broken and the response is lost anyway.
+		// SetReadDeadline fails only if the connection is broken, in which case the response is lost as well.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(errorReadTimeout))
 	}
 	h.respond(w, r, status, upstream.Response{})
 }
 
-// respond writes a complete response. In a drain it is the last one on its connection, even to a request that came
-// before: what the client sent next might reach nobody. The same holds while there are too many connections. A further
-// request that the client has sent already, or a part of one, is answered first: it was accepted.
+// respond writes a complete response. During a drain the response closes its connection, also if the request arrived
+// before the drain, because a further request might not be served. The same holds while the limit on connections is
+// exceeded. If the client has already sent a further request or a part of one, the connection stays open, because that
+// request counts as accepted and must be answered.
 func (h *handler) respond(w http.ResponseWriter, r *http.Request, status int, response upstream.Response) {
 	header := w.Header()
 	conn := connectionOf(r)
 	if conn != nil {
-		conn.answered()
+		conn.markAnswered()
 	}
 	if (h.draining.Load() || h.limiter.excess() > 0) && (conn == nil || !conn.hasUnread()) {
 		header["Connection"] = connectionClose
 	}
-	header["Date"] = nil // suppressed: it costs more CPU than it is worth
+	header["Date"] = nil // nil keeps net/http from adding it, which saves CPU time
 	header["Content-Type"] = response.ContentType
-	header["Content-Length"] = noLength
+	header["Content-Length"] = zeroLength
 	if len(response.Body) > 0 {
 		header["Content-Length"] = []string{strconv.Itoa(len(response.Body))}
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(response.Body) // if it fails, net/http closes the connection
+	_, _ = w.Write(response.Body) // net/http closes the connection on an error
 }
 
-// openRequests are the ids of the requests that are not answered yet. An endpoint would take a second request with the
-// id of an open one for a copy of it, whoever sent it.
+// openRequests is the set of ids of the requests that are not answered yet. It serves to reject a second request with
+// the id of an open one, which an endpoint would take for a copy of that request.
 type openRequests struct {
 	mu  sync.Mutex
 	ids map[string]struct{}
 }
 
-// add inserts an id. It reports false if the id is open already.
+// add inserts an id. It returns false if a request with this id is open already.
 func (o *openRequests) add(id string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/frontend/limiter.go
+++ b/internal/frontend/limiter.go
@@ -10,35 +10,36 @@
 )
 
 const (
-	// reserveDivisor gives the part of the connections that is reserved for new ones, which are accepted while another
-	// one still makes room.
+	// reserveDivisor sets the share of the connections, one in reserveDivisor, that is reserved for new connections.
+	// They are accepted from the reserve while evicted connections are still being closed.
 	reserveDivisor = 9
 
-	// Connections are not evicted before they have been in their state for so long.
-	minNewAge  = 100 * time.Millisecond // nothing has been read
-	minHeadAge = time.Second            // part of a head has been read
-	minIdleAge = 2 * time.Second        // between two requests
+	// A connection is evicted only after it has been in its state for a minimum time.
+	minNewAge  = 100 * time.Millisecond // in stateNew
+	minHeadAge = time.Second            // in stateReadingHead
+	minIdleAge = 2 * time.Second        // in stateIdle
 )
 
-// connectionLimiter keeps the clients' connections inside their share of the file descriptors: beyond it a new
-// connection takes the place of one that does the least, so that silent connections keep nobody waiting.
+// connectionLimiter keeps the connections of clients within their share of the file descriptors. When the limit is
+// exceeded, it evicts a connection that has not sent a complete request or is idle, so that such connections do not
+// block new clients.
 //
-// A connection is evicted, or closed in a drain, only while it is certain that no request on it has been read. The
-// connection states of net/http come too late for that: they change once the complete head has been read. A request
-// that goes on while its connection is being closed is lost to its client, and the client's retry would be a second
-// copy. The limiter therefore closes no connection itself: it interrupts the goroutine that reads it, and that closes
-// it unless it has read something or bytes have come meanwhile.
+// A connection is evicted, or closed in a drain, only if no request on it has been read. The connection states of
+// net/http change too late for this decision, only once the complete head has been read. If a connection were closed
+// while its request runs, the client would lose the response, and its retry would be a second copy of the request. The
+// limiter therefore does not close connections itself. It interrupts the goroutine that reads the connection, and that
+// goroutine closes it unless it has read something or bytes have arrived meanwhile.
 type connectionLimiter struct {
 	limit     int
-	reserve   int                    // how many more may be open for a moment
-	hasUnread func(*clientConn) bool // (*clientConn).hasUnread; tests wrap it
+	reserve   int                    // number of connections beyond limit that may be open for a short time
+	hasUnread func(*clientConn) bool // (*clientConn).hasUnread, or a wrapper in tests
 
 	mu      sync.Mutex
-	conns   map[*clientConn]struct{} // all that are open
-	closing int                      // those of them that are closing
+	conns   map[*clientConn]struct{} // all open connections
+	closing int                      // number of connections in stateClosing
 }
 
-// newConnectionLimiter returns a limiter for a number of connections, the reserve included.
+// newConnectionLimiter returns a limiter for maxConnections connections, including the reserve.
 func newConnectionLimiter(maxConnections int) *connectionLimiter {
 	reserve := maxConnections / reserveDivisor
 	return &connectionLimiter{
@@ -52,7 +53,7 @@
 // add registers a connection that was just accepted.
 func (l *connectionLimiter) add(conn *net.TCPConn) *clientConn {
 	now := time.Now()
-	c := &clientConn{TCPConn: conn, limiter: l, acceptedAt: now, since: now, ending: counters.CloseByTimeout}
+	c := &clientConn{TCPConn: conn, limiter: l, acceptedAt: now, stateSince: now, closeEvent: counters.CloseByTimeout}
 	counters.Count(counters.ConnectionAccepted, "")
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,25 +61,25 @@
 	return c
 }
 
-// remove forgets a connection that is being closed. It reports false if the limiter had it closed.
+// remove removes a connection that is being closed. It returns false if the connection had been removed before.
 func (l *connectionLimiter) remove(c *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	present := c.state != stateEvicted
+	wasOpen := c.state != stateClosed
 	l.removeLocked(c)
-	return present
+	return wasOpen
 }
 
-// removeLocked forgets a connection that is being closed. l.mu is held.
+// removeLocked removes a connection that is being closed. The caller holds l.mu.
 func (l *connectionLimiter) removeLocked(c *clientConn) {
 	if c.state == stateClosing {
 		l.closing--
 	}
-	c.state = stateEvicted
+	c.state = stateClosed
 	delete(l.conns, c)
 }
 
-// excess returns by how many connections the limit is exceeded, without those that are closing. It is negative below
+// excess returns the number of connections beyond the limit, not counting those in stateClosing. It is negative below
 // the limit.
 func (l *connectionLimiter) excess() int {
 	l.mu.Lock()
@@ -86,15 +87,15 @@
 	return len(l.conns) - l.closing - l.limit
 }
 
-// openBeyondLimit returns by how many connections the limit is exceeded, with those that are closing, and how many
-// these are.
-func (l *connectionLimiter) openBeyondLimit() (beyond, closing int) {
+// excessWithClosing returns the number of connections beyond the limit, counting those in stateClosing, and the number
+// of the latter.
+func (l *connectionLimiter) excessWithClosing() (excess, closing int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns) - l.limit, l.closing
 }
 
-// active returns the number of connections on which a request has begun and is not answered yet.
+// active returns the number of connections on which a request has begun and has not been answered yet.
 func (l *connectionLimiter) active() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,7 +108,7 @@
 	return count
 }
 
-// readAhead returns how many bytes have been read behind open requests, over all connections.
+// readAhead returns the number of bytes in the read-ahead buffers of all connections.
 func (l *connectionLimiter) readAhead() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,15 +119,15 @@
 	return sum
 }
 
-// recordRead records that bytes of a request have been read, and whether its head is complete. It reports whether they
-// are the first of a further request, and false for ok if the connection has been evicted. One that was closing is
-// kept.
-func (l *connectionLimiter) recordRead(c *clientConn, headComplete bool) (began, ok bool) {
+// recordRead records that bytes of a request have been read, and whether its head is complete. A connection in
+// stateClosing stays open. requestBegan is true if the bytes are the first of a further request. ok is false if the
+// connection is closed already.
+func (l *connectionLimiter) recordRead(c *clientConn, headComplete bool) (requestBegan, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.resume(c)
+	l.cancelClose(c)
 	switch {
-	case c.state == stateEvicted:
+	case c.state == stateClosed:
 		return false, false
 	case c.state == stateIdle:
 		c.state = stateActive
@@ -139,42 +140,44 @@
 	return false, true
 }
 
-// interrupt begins to close a connection. l.mu is held.
-func (l *connectionLimiter) interrupt(c *clientConn, reason counters.Event) {
-	c.state, c.resumeState, c.closeReason = stateClosing, c.state, reason
+// beginClose marks a connection as closing and interrupts its reader, which closes it. The caller holds l.mu.
+func (l *connectionLimiter) beginClose(c *clientConn, reason counters.Event) {
+	c.state, c.stateBeforeClose, c.closeReason = stateClosing, c.state, reason
 	l.closing++
-	_ = c.TCPConn.SetReadDeadline(past) // fails only on a closed connection, on which reads end by themselves
+	_ = c.TCPConn.SetReadDeadline(pastDeadline) // fails only on a closed connection, on which reads fail as well
 }
 
-// resume keeps a connection that was closing. l.mu is held.
-func (l *connectionLimiter) resume(c *clientConn) {
+// cancelClose restores a connection in stateClosing to its state before. The caller holds l.mu.
+func (l *connectionLimiter) cancelClose(c *clientConn) {
 	if c.state != stateClosing {
 		return
 	}
-	c.state, c.since = c.resumeState, time.Now()
+	c.state, c.stateSince = c.stateBeforeClose, time.Now()
 	l.closing--
-	_ = c.TCPConn.SetReadDeadline(c.readDeadline) // as in interrupt
+	_ = c.TCPConn.SetReadDeadline(c.readDeadline) // fails only on a closed connection
 }
 
-// resolveClose is called by the goroutine of a connection whose read a deadline has ended. It reports whether the
-// limiter has interrupted it, and whether the connection is closed for that: it is kept if bytes have come.
-func (l *connectionLimiter) resolveClose(c *clientConn) (closed, interrupted bool) {
+// finishClose is called by the goroutine of a connection when a deadline has interrupted its read. interrupted reports
+// whether the limiter caused that in order to close the connection. closed reports whether finishClose has closed it,
+// which it does unless bytes have arrived meanwhile.
+func (l *connectionLimiter) finishClose(c *clientConn) (closed, interrupted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c.state != stateClosing {
 		return false, false
 	}
 	if l.hasUnread(c) {
-		l.resume(c)
+		l.cancelClose(c)
 		return false, true
 	}
 	l.removeLocked(c)
-	_ = c.TCPConn.Close() // the descriptor is freed even if it fails
+	_ = c.TCPConn.Close() // frees the descriptor even if it returns an error
 	counters.Count(c.closeReason, "")
 	return true, true
 }
 
-// setReadDeadline sets a connection's time limit for reads. While the connection is closing it is only noted.
+// setReadDeadline sets the read deadline of a connection. In stateClosing it only stores the deadline, which
+// cancelClose applies.
 func (l *connectionLimiter) setReadDeadline(c *clientConn, deadline time.Time) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -185,33 +188,35 @@
 	return c.TCPConn.SetReadDeadline(deadline)
 }
 
-func (l *connectionLimiter) claim(c *clientConn) bool {
+// beginRequest marks a connection as active. It returns false if the connection is closed already.
+func (l *connectionLimiter) beginRequest(c *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.state == stateEvicted {
+	if c.state == stateClosed {
 		return false
 	}
 	c.state = stateActive
 	return true
 }
 
-// trackState is the http.Server's ConnState hook.
+// trackState is the ConnState hook of http.Server. It marks connections as idle.
 func trackState(conn net.Conn, state http.ConnState) {
 	if c, ok := conn.(*clientConn); ok && state == http.StateIdle {
 		c.beginIdle()
 	}
 }
 
+// beginIdle marks an active connection as idle.
 func (l *connectionLimiter) beginIdle(c *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c.state == stateActive {
-		c.state, c.since = stateIdle, time.Now()
+		c.state, c.stateSince = stateIdle, time.Now()
 	}
 }
 
-// evict begins to close one connection: the oldest that has not sent a complete head yet, or else the one that has been
-// idle for longest. It reports whether there was one.
+// evict begins to close one connection: the oldest one that has not sent a complete head yet, or else the one that has
+// been idle for longest. It returns false if there is no such connection.
 func (l *connectionLimiter) evict(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -220,21 +225,21 @@
 		if c == nil {
 			continue
 		}
-		if l.hasUnread(c) { // perhaps a request
-			c.since = now
+		if l.hasUnread(c) { // the unread bytes may be a request
+			c.stateSince = now
 			continue
 		}
-		l.interrupt(c, counters.CloseEvicted)
+		l.beginClose(c, counters.CloseEvicted)
 		return true
 	}
 	return false
 }
 
-// evictionCandidates returns the oldest connection without a complete head and the one that has been idle for longest,
-// or nil where there is none. l.mu is held.
+// evictionCandidates returns the oldest connection without a complete head and the connection that has been idle for
+// longest. Either is nil if there is none. The caller holds l.mu.
 func (l *connectionLimiter) evictionCandidates(now time.Time) (incomplete, idle *clientConn) {
 	for c := range l.conns {
-		age := now.Sub(c.since)
+		age := now.Sub(c.stateSince)
 		switch {
 		case c.state == stateNew && age >= minNewAge, c.state == stateReadingHead && age >= minHeadAge:
 			incomplete = older(incomplete, c)
@@ -245,31 +250,31 @@
 	return incomplete, idle
 }
 
-// older returns the connection that has been in its state for longer. a may be nil.
+// older returns the connection that has been in its state for longer. a may be nil, b may not.
 func older(a, b *clientConn) *clientConn {
-	if a == nil || b.since.Before(a.since) {
+	if a == nil || b.stateSince.Before(a.stateSince) {
 		return b
 	}
 	return a
 }
 
-// drained closes connections in a drain. It reports whether none is left. With force those go as well on which a
-// request is incomplete: it is not accepted before its last byte.
-func (l *connectionLimiter) drained(now time.Time, force bool) bool {
+// continueDrain begins to close the connections on which no request has begun, and with force also those whose head is
+// not complete, because such a request has not been accepted yet. It reports whether no connection is left.
+func (l *connectionLimiter) continueDrain(now time.Time, force bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
-		var unused bool
+		var closable bool
 		switch c.state {
 		case stateIdle:
-			unused = true
+			closable = true
 		case stateNew:
-			unused = force || now.Sub(c.since) >= minNewAge
+			closable = force || now.Sub(c.stateSince) >= minNewAge
 		case stateReadingHead:
-			unused = force
+			closable = force
 		}
-		if unused && !l.hasUnread(c) {
-			l.interrupt(c, counters.CloseDrained)
+		if closable && !l.hasUnread(c) {
+			l.beginClose(c, counters.CloseDrained)
 		}
 	}
 	return len(l.conns) == 0
--- a/internal/frontend/limiter_test.go
+++ b/internal/frontend/limiter_test.go
@@ -45,7 +45,7 @@
 // makeIdle lets a connection serve one request.
 func makeIdle(t *testing.T, conn *clientConn) {
 	t.Helper()
-	if !conn.claim(0) {
+	if !conn.beginRequest(0) {
 		t.Fatal("the connection is evicted")
 	}
 	trackState(conn, http.StateIdle)
@@ -80,7 +80,7 @@
 	}
 	client.WriteText("GET")
 	readSome(t, conn)
-	if limiter.evict(late) || limiter.drained(late, false) {
+	if limiter.evict(late) || limiter.continueDrain(late, false) {
 		t.Error("closed though a request is being read")
 	}
 	wantOpen(t, limiter, 1)
@@ -94,7 +94,7 @@
 	makeIdle(t, conn)
 	client.WriteText("G")
 	testkit.Eventually(t, "the bytes", conn.hasUnread)
-	if limiter.evict(late) || limiter.drained(late, false) {
+	if limiter.evict(late) || limiter.continueDrain(late, false) {
 		t.Error("closed though a request waits to be read")
 	}
 	wantOpen(t, limiter, 1)
@@ -109,7 +109,7 @@
 	if n, err := conn.Read(make([]byte, bufferSize)); n != 0 || !errors.Is(err, net.ErrClosed) {
 		t.Errorf("read %d bytes, %v", n, err)
 	}
-	if conn.state != stateEvicted {
+	if conn.state != stateClosed {
 		t.Errorf("the connection is in state %d", conn.state)
 	}
 }
@@ -131,7 +131,7 @@
 		return unread
 	}
 	wantClosed(t, conn)
-	if conn.claim(0) {
+	if conn.beginRequest(0) {
 		t.Error("a request is served on it")
 	}
 }
@@ -168,7 +168,7 @@
 	listener := newTestListener(t)
 	limiter, late := listener.limiter, time.Now().Add(time.Hour)
 	active, _ := acceptOne(t, listener)
-	if !active.claim(0) {
+	if !active.beginRequest(0) {
 		t.Fatal("the active connection is evicted")
 	}
 	idle, _ := acceptOne(t, listener)
@@ -199,18 +199,18 @@
 	conn, client := acceptOne(t, listener)
 	client.WriteText("GET")
 	readSome(t, conn)
-	if limiter.drained(now, false) {
+	if limiter.continueDrain(now, false) {
 		t.Error("the drain ended while a head was incomplete")
 	}
-	if !conn.claim(0) || limiter.drained(now, true) || conn.state != stateActive {
+	if !conn.beginRequest(0) || limiter.continueDrain(now, true) || conn.state != stateActive {
 		t.Error("the drain ended during a request")
 	}
 	conn.state = stateReadingHead
-	if limiter.drained(now, true) {
+	if limiter.continueDrain(now, true) {
 		t.Error("the drain ended while a goroutine may have read something")
 	}
 	wantClosed(t, conn)
-	if !limiter.drained(now, true) || conn.claim(0) {
+	if !limiter.continueDrain(now, true) || conn.beginRequest(0) {
 		t.Error("a request was accepted after the end of the drain")
 	}
 	if _, err := client.Reader.ReadByte(); !errors.Is(err, io.EOF) {
@@ -242,14 +242,14 @@
 			return false
 		}
 		if inDrain {
-			limiter.drained(late, false)
+			limiter.continueDrain(late, false)
 		} else {
 			limiter.evict(late)
 		}
 		if got := testkit.Receive(t, "the read", results); got.n != len(request) || got.err != nil {
 			t.Errorf("in a drain %v: read %d bytes, %v", inDrain, got.n, got.err)
 		}
-		if !conn.claim(0) {
+		if !conn.beginRequest(0) {
 			t.Errorf("in a drain %v: the request is not served", inDrain)
 		}
 	}
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -12,67 +12,69 @@
 )
 
 const (
-	// evictionPollInterval is how often a connection beyond the reserve looks for one that can be evicted.
+	// evictionPollInterval is the interval at which a new connection beyond the reserve tries to evict another one.
 	evictionPollInterval = 10 * time.Millisecond
 
-	// closePollInterval is how often it looks whether one that is closing has gone.
+	// closePollInterval is the interval at which a new connection beyond the reserve checks whether a connection that
+	// is being closed is gone.
 	closePollInterval = time.Millisecond
 
-	// backlogTimeout is how long a listener that stops waits for a connection: any that the machine has accepted is
-	// returned at once.
+	// backlogTimeout is how long a stopping listener waits for a connection. It can be short because accept returns
+	// the connections in the accept queue of the operating system at once.
 	backlogTimeout = 5 * time.Millisecond
 
-	// maxStopDelay bounds how long further connections can keep a listener from stopping.
+	// maxStopDelay limits how long new connections can delay the stop of a listener.
 	maxStopDelay = 100 * time.Millisecond
 )
 
-// past is a deadline that interrupts a call in progress.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that interrupts a call in progress.
+var pastDeadline = time.Unix(1, 0)
 
-// limitedListener accepts connections as fast as the limiter makes room for them. It implements net.Listener.
+// limitedListener is a net.Listener that accepts connections only as fast as the limiter makes room for them.
 type limitedListener struct {
-	limiter  *connectionLimiter
-	retry    acceptRetry // used by Accept alone
-	stopping atomic.Bool
-	stopBy   time.Time // set before stopping
+	limiter      *connectionLimiter
+	backoff      acceptBackoff // used by Accept only
+	stopping     atomic.Bool
+	stopDeadline time.Time // latest time at which Accept still accepts; set before stopping
 
 	mu       sync.Mutex
 	listener net.Listener // nil before attach
 }
 
-// attach sets the listener that Accept uses, also after stop.
+// attach sets the listener that Accept uses. It may be called after stop.
 func (l *limitedListener) attach(listener net.Listener) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.listener = listener
 }
 
-// stop makes Accept fail with net.ErrClosed once all connections that the machine has accepted are taken over.
+// stop makes Accept fail with net.ErrClosed once the accept queue of the operating system is empty, after maxStopDelay
+// at the latest.
 func (l *limitedListener) stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stopBy = time.Now().Add(maxStopDelay)
+	l.stopDeadline = time.Now().Add(maxStopDelay)
 	l.stopping.Store(true)
 	if l.listener != nil {
 		l.interrupt()
 	}
 }
 
-// deadlineSetter is a listener whose calls of Accept can be interrupted.
+// deadlineSetter is implemented by listeners whose calls of Accept can be interrupted by a deadline.
 type deadlineSetter interface {
 	SetDeadline(deadline time.Time) error
 }
 
-// interrupt ends a call of Accept that is in progress. l.mu is held.
+// interrupt ends a call of Accept that is in progress. The caller holds l.mu.
 func (l *limitedListener) interrupt() {
 	if listener, ok := l.listener.(deadlineSetter); ok {
-		_ = listener.SetDeadline(past) // fails only on a closed listener, on which Accept ends by itself
+		_ = listener.SetDeadline(pastDeadline) // fails only on a closed listener, on which Accept fails as well
 	} else {
-		_ = l.listener.Close() // as above
+		_ = l.listener.Close() // an error means that the listener is closed already
 	}
 }
 
-// Accept returns the next connection once there is room for it.
+// Accept accepts the next connection and returns it once there is room for it.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	conn, err := l.acceptNext()
 	if err != nil {
@@ -83,15 +85,15 @@
 	return c, nil
 }
 
-// makeRoom has a connection evicted for each beyond the limit, and waits while there are more than the reserve allows.
-// Those that are closing count: their descriptors are not free yet.
+// makeRoom evicts a connection for each one beyond the limit and waits while there are more than the reserve allows.
+// Connections that are being closed count, because their descriptors are not free yet.
 func (l *limitedListener) makeRoom() {
 	for {
 		if l.limiter.excess() > 0 {
 			l.limiter.evict(time.Now())
 		}
-		open, closing := l.limiter.openBeyondLimit()
-		if open <= l.limiter.reserve {
+		excess, closing := l.limiter.excessWithClosing()
+		if excess <= l.limiter.reserve {
 			return
 		}
 		if closing > 0 {
@@ -102,11 +104,11 @@
 	}
 }
 
-// acceptNext accepts a connection. While the listener stops it fails once none is waiting any more.
+// acceptNext accepts a connection. After stop it fails once no connection is waiting any more.
 func (l *limitedListener) acceptNext() (net.Conn, error) {
 	for {
 		stopping := l.stopping.Load()
-		if stopping && time.Now().After(l.stopBy) {
+		if stopping && time.Now().After(l.stopDeadline) {
 			return nil, net.ErrClosed
 		}
 		if listener, ok := l.listener.(deadlineSetter); ok && stopping {
@@ -115,24 +117,24 @@
 		conn, err := l.listener.Accept()
 		switch {
 		case err == nil:
-			l.retry.succeeded()
+			l.backoff.reset()
 			return conn, nil
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			if stopping {
 				return nil, net.ErrClosed
 			}
-		case acceptIsOver(err):
+		case isPermanentAcceptError(err):
 			return nil, err
 		default:
 			if oserror.IsShortage(err) {
 				l.limiter.evict(time.Now())
 			}
-			l.retry.wait(err)
+			l.backoff.wait(err)
 		}
 	}
 }
 
-// Close closes the listener; connections stay open.
+// Close closes the listener. Connections stay open.
 func (l *limitedListener) Close() error { return l.listener.Close() }
 
 // Addr returns the listener's address.
--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -17,7 +17,7 @@
 		testkit.Dial(t, listener.Addr().String())
 	}
 	listener.stop()
-	listener.stopBy = time.Now().Add(testkit.Timeout) // on a slow machine too
+	listener.stopDeadline = time.Now().Add(testkit.Timeout) // on a slow machine too
 	for i := range backlog {
 		if _, err := listener.Accept(); err != nil {
 			t.Fatalf("connection %d: %v", i, err)
@@ -28,7 +28,7 @@
 	}
 
 	// A connection that comes later does not keep the listener from stopping.
-	listener.stopBy = time.Now().Add(-time.Second)
+	listener.stopDeadline = time.Now().Add(-time.Second)
 	testkit.Dial(t, listener.Addr().String())
 	if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("once its time is up: %v", err)
@@ -45,7 +45,7 @@
 	testkit.Dial(t, inner.Addr().String())
 	listener := &limitedListener{limiter: newConnectionLimiter(testLimit)}
 	listener.stop()
-	listener.stopBy = time.Now().Add(testkit.Timeout)
+	listener.stopDeadline = time.Now().Add(testkit.Timeout)
 	listener.attach(inner)
 	if _, err := listener.Accept(); err != nil {
 		t.Errorf("the connection of the backlog: %v", err)
@@ -63,7 +63,7 @@
 	limiter.limit, limiter.reserve = 1, 0
 	idle, _ := acceptOne(t, listener)
 	makeIdle(t, idle)
-	idle.since = time.Now().Add(-time.Hour)
+	idle.stateSince = time.Now().Add(-time.Hour)
 	testkit.Dial(t, listener.Addr().String())
 	type result struct {
 		beyond int
@@ -72,11 +72,11 @@
 	accepted := make(chan result, 1)
 	go func() {
 		_, err := listener.Accept()
-		beyond, _ := limiter.openBeyondLimit()
+		beyond, _ := limiter.excessWithClosing()
 		accepted <- result{beyond, err}
 	}()
 	testkit.Eventually(t, "the eviction", func() bool {
-		_, closing := limiter.openBeyondLimit()
+		_, closing := limiter.excessWithClosing()
 		return closing == 1
 	})
 	wantClosed(t, idle)
--- a/internal/frontend/quota.go
+++ b/internal/frontend/quota.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// quotaInfo is the content of the Quota-Info header.
+// quotaInfo holds the fields of the Quota-Info header.
 type quotaInfo struct {
-	units    float64
-	setSize  int // gateways that serve the customer
-	setFirst int // the first of them
+	units    float64 // size of the request
+	setSize  int     // number of gateways that serve the customer
+	setFirst int     // index of the first of these gateways
 }
 
-// The fields of the Quota-Info header.
+// Indices of the fields of the Quota-Info header in quotaFieldNames.
 const (
 	unitsField = iota
 	setSizeField
@@ -22,7 +22,8 @@
 
 var quotaFieldNames = [quotaFieldCount]string{"units", "spread", "first"}
 
-// parseQuotaInfo parses a header like "units=2,spread=3,first=1": all fields in any order, each once, and no others.
+// parseQuotaInfo parses and validates a header like "units=2,spread=3,first=1". Each field must occur once, in any
+// order, and no other fields are allowed.
 func (p *requestParser) parseQuotaInfo(values []string) (quotaInfo, error) {
 	text, _ := singleValue(values)
 	fields, ok := parseQuotaFields(text)
@@ -35,11 +36,13 @@
 	inRange := info.units > 0 && info.units <= p.maxUnits &&
 		info.setSize >= 1 && info.setSize <= p.gatewayCount && info.setFirst < p.gatewayCount
 	if !ok || !wholeNumbers || !inRange {
-		return quotaInfo{}, badRequest("the quota information is missing, repeated or invalid")
+		return quotaInfo{}, badRequest("the Quota-Info header is missing, repeated or invalid")
 	}
 	return info, nil
 }
 
+// parseQuotaFields parses the fields of a Quota-Info header into values indexed by unitsField, setSizeField and
+// setFirstField.
 func parseQuotaFields(text string) (fields [quotaFieldCount]float64, ok bool) {
 	var seen [quotaFieldCount]bool
 	for more := true; more; {
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// responseMargin is kept between the last command for a request and its client's deadline: the request was on its
-	// way before it was received, and so is its response.
+	// responseMargin is the time between the last command for a request and the client's deadline. It covers the
+	// network transit of the request before it was received and that of the response.
 	responseMargin = 20 * time.Millisecond
 
-	maxIDBytes     = 128     // of a request id or an idempotency key
-	customerDigits = 16      // hexadecimal
-	customerLimit  = 1 << 33 // customer numbers are below this
-	maxNumberBytes = 20
+	maxIDBytes     = 128     // maximum length of a request id or an idempotency key
+	customerDigits = 16      // number of hexadecimal digits of a customer number
+	customerLimit  = 1 << 33 // exclusive upper bound of customer numbers
+	maxNumberBytes = 20      // maximum length of a decimal number in a header
 )
 
-// RequestError is a request that is not forwarded because of a fault of its client.
+// RequestError is the error for a request that is answered with an error status instead of being forwarded.
 type RequestError struct {
-	Status int    // of the response
-	Reason string // for people to read
+	Status int    // HTTP status of the response
+	Reason string // human-readable explanation
 }
 
 // Error returns the reason and the status.
@@ -35,27 +35,27 @@
 
 func badRequest(reason string) error { return &RequestError{http.StatusBadRequest, reason} }
 
-// requestParser parses requests by the settings of the deployment.
+// requestParser parses and validates requests according to the settings of the deployment.
 type requestParser struct {
-	classes      map[string]requestClass
-	plans        map[string]int // index of each plan
+	classes      map[string]requestClass // classes by name
+	plans        map[string]int          // index in the settings of each plan by name
 	gatewayCount int
-	maxUnits     float64 // of one request
+	maxUnits     float64 // maximum size of a request
 }
 
-// requestClass is a class as the settings define it.
+// requestClass holds what the parser needs to know of a class.
 type requestClass struct {
-	index       int
+	index       int // index in the settings
 	method      string
 	keyRequired bool
-	deadline    time.Duration // 0: none
+	deadline    time.Duration // longest deadline of a request; 0 means no limit
 }
 
-// parsedRequest is what the head of a request says.
+// parsedRequest is the parsed head of a request.
 type parsedRequest struct {
 	id       string
 	request  policy.Request
-	deadline time.Duration // when the last command must have been given
+	deadline time.Duration // time on the gateway clock by which the last command must be given
 }
 
 func newRequestParser(s *settings.Settings) *requestParser {
@@ -86,7 +86,8 @@
 	return p
 }
 
-// parse parses the head of a request that was received at the given time. Its errors are of type *RequestError.
+// parse parses and validates the head of a request. receivedAt is a time on the gateway clock. Its errors are of type
+// *RequestError.
 func (p *requestParser) parse(r *http.Request, receivedAt time.Duration) (parsedRequest, error) {
 	class, rest, err := p.matchClass(r)
 	if err != nil {
@@ -132,21 +133,21 @@
 	}, nil
 }
 
-// matchClass returns the class that the first part of the path names, and the rest of the path.
+// matchClass returns the class that the first segment of the path names, and the rest of the path.
 func (p *requestParser) matchClass(r *http.Request) (class requestClass, rest string, err error) {
 	path, rooted := strings.CutPrefix(r.URL.Path, "/")
 	name, rest, separated := strings.Cut(path, "/")
 	class, known := p.classes[name]
 	if !rooted || !separated || !known {
-		return requestClass{}, "", &RequestError{http.StatusNotFound, "no class has this path"}
+		return requestClass{}, "", &RequestError{http.StatusNotFound, "the path does not begin with a class"}
 	}
 	if r.Method != class.method {
-		return requestClass{}, "", &RequestError{http.StatusMethodNotAllowed, "the class has another method"}
+		return requestClass{}, "", &RequestError{http.StatusMethodNotAllowed, "the class does not allow this method"}
 	}
 	return class, rest, nil
 }
 
-// parseCustomer parses the last part of a path.
+// parseCustomer parses the customer number in the last segment of a path.
 func parseCustomer(path string) (policy.CustomerID, error) {
 	digits := path[strings.LastIndexByte(path, '/')+1:]
 	customer, err := strconv.ParseUint(digits, 16, 64)
@@ -156,7 +157,7 @@
 	return policy.CustomerID(customer), nil
 }
 
-// parseIDs returns the request id and checks the idempotency key.
+// parseIDs returns the request id and validates the idempotency key.
 func parseIDs(header http.Header, keyRequired bool) (id string, err error) {
 	id, ok := singleValue(header["Req-Id"])
 	if !ok || len(id) > maxIDBytes {
@@ -169,7 +170,7 @@
 	return id, nil
 }
 
-// parsePlan returns the index of the plan in the settings.
+// parsePlan returns the index in the settings of the plan that the Plan header names.
 func (p *requestParser) parsePlan(values []string) (int, error) {
 	name, ok := singleValue(values)
 	plan, known := p.plans[name]
@@ -179,12 +180,13 @@
 	return plan, nil
 }
 
-// parseDeadline returns the time that the client waits: what the header says, at most the deadline of the class.
+// parseDeadline returns how long the client waits for the response: the value of the header, at most the deadline of
+// the class.
 func parseDeadline(values []string, classDeadline time.Duration) (time.Duration, error) {
 	text, _ := singleValue(values)
 	seconds, ok := parseNumber(text)
 	if !ok || seconds <= 0 {
-		return 0, badRequest("the deadline is missing, repeated or no positive number")
+		return 0, badRequest("the deadline is missing, repeated or not a positive number")
 	}
 	nanoseconds := seconds * float64(time.Second)
 	if nanoseconds < float64(classDeadline) || classDeadline <= 0 {
@@ -193,7 +195,7 @@
 	return classDeadline, nil
 }
 
-// singleValue returns the value of a header that must be there once.
+// singleValue returns the value of a header that must occur once and must not be empty.
 func singleValue(values []string) (string, bool) {
 	if len(values) != 1 || values[0] == "" {
 		return "", false
@@ -201,7 +203,8 @@
 	return values[0], true
 }
 
-// parseNumber parses decimal digits with at most one point: no sign, exponent, hexadecimal digits or infinity.
+// parseNumber parses a number of decimal digits with at most one decimal point. Unlike strconv.ParseFloat it accepts no
+// sign, exponent, hexadecimal digits, infinity or NaN.
 func parseNumber(text string) (float64, bool) {
 	if text == "" || len(text) > maxNumberBytes {
 		return 0, false
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -1,5 +1,5 @@
-// Package frontend serves the clients' side of the gateway: it accepts connections, parses requests, submits them to
-// the event loop and carries out the commands that it gets back.
+// Package frontend implements the client side of the gateway. It accepts connections, parses requests, submits them to
+// the event loop and carries out the commands that the event loop returns.
 package frontend
 
 import (
@@ -12,22 +12,22 @@
 )
 
 const (
-	headerTimeout  = 2200 * time.Millisecond // to the end of a request's head, or to the first byte of a connection
-	idleTimeout    = 10 * time.Second        // between two requests
-	transferMargin = 5 * time.Second         // beyond the longest deadline, to read a request or to write a response
+	headerTimeout  = 2200 * time.Millisecond // for the head of a request, and for the first byte of a connection
+	idleTimeout    = 10 * time.Second        // for a further request on a connection
+	transferMargin = 5 * time.Second         // for reading a request or writing a response, beyond the longest deadline
 	maxHeaderBytes = 16 << 10
 )
 
-// Options are the parameters of a Server. All are required.
+// Options holds the parameters of a Server. All are required.
 type Options struct {
 	Clock           clock.Clock
 	Engine          Engine
 	Settings        *settings.Settings
-	MaxConnections  int           // of clients, including those that wait for another one to make room
-	LongestDeadline time.Duration // of all classes
+	MaxConnections  int           // maximum number of client connections, including those that wait for an eviction
+	LongestDeadline time.Duration // longest deadline of any class
 }
 
-// Server is the HTTP server for clients.
+// Server is the HTTP server that clients connect to.
 type Server struct {
 	http     *http.Server
 	handler  *handler
@@ -35,7 +35,7 @@
 	listener *limitedListener
 }
 
-// NewServer returns a server that is not ready yet: it fails health checks, and serves requests all the same.
+// NewServer returns a server that is not ready. It serves requests but fails health checks until SetReady is called.
 func NewServer(options Options) *Server {
 	limiter := newConnectionLimiter(options.MaxConnections)
 	handler := newHandler(options, limiter)
@@ -58,38 +58,39 @@
 	}
 }
 
-// Serve accepts connections on a TCP listener until it fails, StopAccepting has taken effect, or Close is called. The
-// error is never nil: the last two give net.ErrClosed and http.ErrServerClosed. It closes the listener and must be
-// called once.
+// Serve accepts connections on a TCP listener until the listener fails, StopAccepting has taken effect, or Close is
+// called. It always returns an error: net.ErrClosed after StopAccepting and http.ErrServerClosed after Close. It closes
+// the listener. It must be called only once.
 func (s *Server) Serve(listener net.Listener) error {
 	s.listener.attach(listener)
 	return s.http.Serve(s.listener)
 }
 
-// SetReady makes health checks succeed until BeginDrain.
+// SetReady makes health checks succeed until BeginDrain is called.
 func (s *Server) SetReady() { s.handler.ready.Store(true) }
 
-// BeginDrain makes health checks fail and each response the last one on its connection. Connections are still
-// accepted.
+// BeginDrain makes health checks fail and makes each response close its connection. New connections are still accepted.
 func (s *Server) BeginDrain() { s.handler.draining.Store(true) }
 
-// StopAccepting makes Serve return once all connections that the machine has accepted are taken over.
+// StopAccepting makes Serve return once the connections in the accept queue of the operating system have been accepted.
 func (s *Server) StopAccepting() { s.listener.stop() }
 
 // ContinueDrain closes the connections that are between requests, and with force also those whose request is not
 // complete. It reports whether the drain is complete, which means that no connection is left.
-func (s *Server) ContinueDrain(now time.Time, force bool) bool { return s.limiter.drained(now, force) }
+func (s *Server) ContinueDrain(now time.Time, force bool) bool {
+	return s.limiter.continueDrain(now, force)
+}
 
 // Close closes the listener and all connections.
 func (s *Server) Close() error { return s.http.Close() }
 
-// RequestOpen reports whether a request with this id has been submitted and is not answered yet. It is for
+// RequestOpen reports whether a request with this id has been submitted and has not been answered yet. It is for
 // diagnostics.
 func (s *Server) RequestOpen(id string) bool { return s.handler.open.contains(id) }
 
-// ActiveConnections returns the number of connections on which a request has begun and is not answered yet. It is for
-// diagnostics.
+// ActiveConnections returns the number of connections on which a request has begun and has not been answered yet. It is
+// for diagnostics.
 func (s *Server) ActiveConnections() int { return s.limiter.active() }
 
-// ReadAhead returns how many bytes have been read behind the requests that are open. It is for diagnostics.
+// ReadAhead returns the number of bytes of further requests that have been read ahead. It is for diagnostics.
 func (s *Server) ReadAhead() int { return s.limiter.readAhead() }
