--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -1,6 +1,6 @@
-// Command gateway is an edge gateway: it holds customers to their quotas in front of the endpoints that all gateways
-// share. The environment variable RELAY_CONFIG names its configuration file. SIGHUP makes it read that file again, and
-// SIGTERM makes it drain and exit.
+// Command gateway is an edge gateway. It enforces customer quotas in front of the endpoints that all gateways share.
+// The environment variable RELAY_CONFIG names its configuration file. SIGHUP makes it reload that file, and SIGTERM
+// makes it drain and exit.
 package main
 
 import (
@@ -20,54 +20,56 @@
 )
 
 const (
-	// maxProcs is the number of cores that a gateway has.
+	// maxProcs is GOMAXPROCS for a gateway, which has one core.
 	maxProcs = 1
 
-	// gcPercent lets the heap grow far before it is collected, because it stays far below the memory limit. Near the
-	// limit the collector works harder.
+	// gcPercent is GOGC for a gateway. It lets the heap grow far between collections, because the live heap stays far
+	// below the memory limit. Near that limit the collector runs more often regardless of gcPercent.
 	gcPercent = 400
 
-	// heapShare is the part of the memory limit that the Go runtime may use.
+	// heapShare is the fraction of the configured memory limit that the Go runtime may use.
 	heapShare = 0.75
 
 	bytesPerMB = 1 << 20
 
-	// logLevelVariable may be "debug", which logs the steps of each request by its id.
+	// logLevelVariable is the environment variable for the log level. The value "debug" logs the steps of each request
+	// with its id.
 	logLevelVariable = "RELAY_LOG_LEVEL"
 
-	// logFlushTimeout bounds how long the end of the process waits for a log that is not read.
+	// logFlushTimeout limits how long the process waits at its end for log lines to be written, in case nobody reads
+	// the log.
 	logFlushTimeout = 200 * time.Millisecond
 )
 
 func main() {
-	// A write to standard error whose reader has gone would end the process.
+	// SIGPIPE is ignored because a write to standard error after its reader has closed it would end the process.
 	signal.Ignore(syscall.SIGPIPE)
 	log := logging.NewWriter(os.Stderr)
 	options := &slog.HandlerOptions{Level: logLevel(os.Getenv(logLevelVariable))}
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, options)))
-	// This line and the next ones of a start tell how far a process has come that does not get ready.
+	// This message and the following ones show how far a process that does not become ready has come.
 	slog.Info("starting", "pid", os.Getpid(), "procs", runtime.GOMAXPROCS(0))
 	err := run()
 	if err != nil {
 		slog.Error("gateway failed", "err", err)
 	}
-	log.Flush(logFlushTimeout) // if it fails the lines are lost; the exit status tells of the error all the same
+	log.Flush(logFlushTimeout) // on a failure the lines are lost; the exit status still reports the error
 	if err != nil {
 		os.Exit(1)
 	}
 }
 
-// logLevel returns the least level that is logged: info, or debug where the variable says so.
-func logLevel(text string) slog.Level {
-	if text == "debug" {
+// logLevel returns the minimum level of logged messages: debug if the value is "debug", else info.
+func logLevel(value string) slog.Level {
+	if value == "debug" {
 		return slog.LevelDebug
 	}
 	return slog.LevelInfo
 }
 
-// run serves until SIGTERM or an interrupt and the drain that follows.
+// run loads the configuration and serves until SIGTERM or an interrupt. It returns after the drain that follows.
 func run() error {
-	reload := make(chan os.Signal, 1) // one that is pending stands for all that come meanwhile
+	reload := make(chan os.Signal, 1) // one pending signal covers all that arrive meanwhile
 	signal.Notify(reload, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -80,7 +82,7 @@
 		return err
 	}
 	slog.Info("configuration loaded", "name", cfg.Name, "endpoints", len(cfg.Known.Servers))
-	runtime.GOMAXPROCS(maxProcs) // does nothing where the environment has set it
+	runtime.GOMAXPROCS(maxProcs) // has no effect if the environment has set GOMAXPROCS to the same value
 	debug.SetGCPercent(gcPercent)
 	if cfg.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(heapShare * float64(cfg.Limits.MemoryMB) * bytesPerMB))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway runs one gateway process: it connects the parts, serves until it is told to stop, and shuts down
-// gracefully.
+// Package gateway runs a gateway process. It starts and connects the components, serves clients until it is told to
+// stop, and shuts down gracefully.
 package gateway
 
 import (
@@ -23,8 +23,8 @@
 	"springfield/internal/upstream"
 )
 
-// firstListWait bounds how long readiness waits for the first answer of discovery.
-const firstListWait = 300 * time.Millisecond
+// firstListTimeout limits how long readiness waits for the first response of discovery.
+const firstListTimeout = 300 * time.Millisecond
 
 // NetworkHooks replace the calls of a gateway to the network. Soak tests inject faults through them. The zero value
 // replaces nothing.
@@ -33,15 +33,16 @@
 	Dial         upstream.Dialer                          // opens connections to endpoints
 }
 
-// options are the parts of a run that tests replace. The zero value is a production run.
+// options holds the parameters of a run that tests override. The zero value is used in production, except that
+// NetworkHooks may set dial.
 type options struct {
-	drainDelay time.Duration                         // how long new connections are accepted in a drain; 0: drainDelay
-	dial       upstream.Dialer                       // opens connections to endpoints; nil: the default of upstream
-	wrapEngine func(frontend.Engine) frontend.Engine // wraps the event loop that serves clients; nil: it is used as it is
-	inspect    func(*frontend.Server)                // is shown the server before it serves
+	drainDelay time.Duration                         // how long a drain accepts new connections; 0 means the default
+	dial       upstream.Dialer                       // opens connections to endpoints; nil means the default
+	wrapEngine func(frontend.Engine) frontend.Engine // wraps the event loop for the frontend; nil means no wrapper
+	inspect    func(*frontend.Server)                // receives the server before it serves; may be nil
 }
 
-// components are the running parts of a gateway.
+// components holds the running components of a gateway.
 type components struct {
 	clock     clock.Clock
 	loop      *eventloop.Loop
@@ -49,8 +50,8 @@
 	server    *frontend.Server
 }
 
-// Run serves clients until ctx ends. Then it drains: it goes on accepting connections for a short time, answers every
-// request that it has accepted, and returns. At each signal on reload it reads its configuration again.
+// Run serves clients until ctx is done. Then it drains: it goes on accepting connections for a short time, answers
+// every accepted request, and returns. It reloads the configuration at each signal on reload.
 func Run(ctx context.Context, cfg *config.Config, reload <-chan os.Signal, hooks NetworkHooks) error {
 	var listener net.Listener
 	err := oserror.RetryShortage(ctx, func() (err error) {
@@ -69,14 +70,14 @@
 	return run(ctx, cfg, listener, reload, options{dial: hooks.Dial})
 }
 
-// run is Run on a listener that is open already; it closes the listener.
+// run does the work of Run with an open listener, which it closes.
 func run(ctx context.Context, cfg *config.Config, listener net.Listener, reload <-chan os.Signal, opts options) error {
-	defer func() { _ = listener.Close() }() // a drain has closed it already
+	defer func() { _ = listener.Close() }() // fails if the drain has closed it already
 	seed, err := cfg.RandomSeed()
 	if err != nil {
 		return err
 	}
-	// The components outlive ctx: they are needed until the last request is answered.
+	// The components outlive ctx, because they are needed until the last request is answered.
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var running sync.WaitGroup
 	parts := start(background, &running, cfg, seed, reload, opts)
@@ -95,7 +96,7 @@
 	select {
 	case err := <-served:
 		slog.Error("accepting failed", "err", err)
-		served <- err // for the drain: requests that are open are answered all the same
+		served <- err // shutDown receives it; open requests are still answered
 		return errors.Join(fmt.Errorf("serve clients: %w", err),
 			shutDown(parts, listener, served, cfg.LongestDeadline(), opts))
 	case <-ctx.Done():
@@ -103,14 +104,14 @@
 	return shutDown(parts, listener, served, cfg.LongestDeadline(), opts)
 }
 
-// logSummary logs, at the end of the process, what has been counted.
+// logSummary logs the counters and decision totals at the end of the process.
 func logSummary(loop *eventloop.Loop) {
 	attributes := append(counters.Summary(), loop.Decisions()...)
 	slog.Info("summary", append(attributes, "violations", invariant.Total())...)
 }
 
-// start builds the components and starts their goroutines, which run until ctx ends. The endpoint list of the
-// configuration is in use once it returns.
+// start creates the components and starts their goroutines, which run until ctx is done. When it returns, the endpoint
+// list of the configuration is in use.
 func start(ctx context.Context, running *sync.WaitGroup, cfg *config.Config, seed uint64, reload <-chan os.Signal,
 	opts options) *components {
 	gatewayClock := clock.New()
@@ -134,8 +135,8 @@
 	discoveryClient.PublishCached(ctx, cfg.Known)
 	running.Go(func() { discoveryClient.Run(ctx) })
 	running.Go(func() {
-		config.Follow(ctx, cfg, reload, func(fresh *config.Config, askedAt time.Time) {
-			discoveryClient.Migrate(fresh.Discovery, askedAt)
+		config.Follow(ctx, cfg, reload, func(reloaded *config.Config, requestedAt time.Time) {
+			discoveryClient.Migrate(reloaded.Discovery, requestedAt)
 		})
 	})
 
@@ -153,12 +154,12 @@
 	return &components{clock: gatewayClock, loop: loop, discovery: discoveryClient, server: server}
 }
 
-// awaitFirstList waits until discovery has answered, for a short time at most: without an endpoint list the gateway
-// can only reject requests, but it has to become ready all the same.
+// awaitFirstList waits for the first response of discovery, for firstListTimeout at most. Without an endpoint list the
+// gateway can only reject requests, but it must become ready nevertheless.
 func awaitFirstList(ctx context.Context, client *discovery.Client) {
 	select {
 	case <-client.FirstResponse():
-	case <-time.After(firstListWait):
+	case <-time.After(firstListTimeout):
 	case <-ctx.Done():
 	}
 }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -9,42 +9,42 @@
 )
 
 const (
-	// drainDelay is how long new connections are accepted in a drain. It outlasts the 0.2 to 0.4 s in which they
-	// still come after SIGTERM.
+	// drainDelay is how long a drain accepts new connections. It is longer than the 0.2 to 0.4 s for which new
+	// connections still arrive after SIGTERM.
 	drainDelay = 500 * time.Millisecond
 
-	// killNotBefore bounds how long requests may take in a drain. After SIGTERM the process may be killed once the
-	// longest deadline and 0.7 s have passed, and the protocol counts a longer deadline as this. With drainDelay and
-	// exitMargin 0.1 s is left.
-	killNotBefore = 3 * time.Second
+	// maxDrainDeadline limits how long requests may take in a drain. After SIGTERM the process may be killed once the
+	// longest request deadline plus 0.7 s have passed, where the protocol counts a deadline of more than 3 s as 3 s.
+	// After drainDelay and exitMargin 0.1 s of the 0.7 s is left.
+	maxDrainDeadline = 3 * time.Second
 
-	// exitMargin is for the last answers to reach their clients.
+	// exitMargin is the time for the last responses to reach their clients.
 	exitMargin = 100 * time.Millisecond
 
-	// drainPollInterval is how often a drain looks whether the last connection has ended.
+	// drainPollInterval is the interval at which a drain checks whether the last connection has ended.
 	drainPollInterval = 10 * time.Millisecond
 )
 
-// shutDown drains the clients' connections and closes the server: no request that was accepted goes unanswered.
+// shutDown drains the client connections and closes the server. Every accepted request is answered before that.
 func shutDown(parts *components, listener net.Listener, served <-chan error, longestDeadline time.Duration,
 	opts options) error {
 	delay := cmp.Or(opts.drainDelay, drainDelay)
 	startedAt := time.Now()
 	parts.server.BeginDrain()
-	answerBy := startedAt.Add(delay + min(longestDeadline, killNotBefore))
-	parts.loop.BeginShutdown(parts.clock.FromTime(answerBy))
+	answerDeadline := startedAt.Add(delay + min(longestDeadline, maxDrainDeadline))
+	parts.loop.BeginShutdown(parts.clock.FromTime(answerDeadline))
 	time.Sleep(delay)
-	// Connections in the machine's accept queue are accepted before the listener is closed.
+	// Connections in the accept queue of the operating system are accepted before the listener is closed.
 	parts.server.StopAccepting()
 	if err := <-served; !errors.Is(err, net.ErrClosed) {
-		slog.Warn("accepting failed", "err", err) // the drain goes on with the connections that are open
+		slog.Warn("accepting failed", "err", err) // the drain goes on with the open connections
 	}
-	_ = listener.Close() // nothing is left in it
+	_ = listener.Close() // its accept queue is empty
 
-	// http.Server.Shutdown would close connections whose request is just being read.
+	// http.Server.Shutdown is not used because it closes connections whose request is still being read.
 	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
-	for !parts.server.ContinueDrain(time.Now(), time.Now().After(answerBy.Add(exitMargin))) {
+	for !parts.server.ContinueDrain(time.Now(), time.Now().After(answerDeadline.Add(exitMargin))) {
 		<-poll.C
 	}
 	return parts.server.Close()
