--- a/internal/frontend/boundary_test.go
+++ b/internal/frontend/boundary_test.go
@@ -7,8 +7,9 @@
 	"springfield/internal/testkit"
 )
 
-// Wherever the bytes of two requests are split, those of the second are not passed on with the first.
-func TestBoundaryOfRequests(t *testing.T) {
+// The bytes of a second request must not be passed on with the first one, at whatever byte the two pipelined requests
+// are split into reads.
+func TestBoundarySeparatesPipelinedRequests(t *testing.T) {
 	const body = "body\r\n\r\nof the request"
 	head := testkit.RequestHead("POST", "pay", "a", "1")
 	second := testkit.RequestHead("GET", "lookup", "b", "1")
@@ -37,8 +38,9 @@
 	}
 }
 
-// Where net/http reads on after the end that was found, or the length is not known, nothing is held back.
-func TestUncertainBoundaryPassesEverything(t *testing.T) {
+// If net/http reads on after the detected end of a head, or if the length of the body is unknown, withheld bytes would
+// stall the connection.
+func TestUnknownBoundaryPassesAllBytes(t *testing.T) {
 	var boundary requestBoundary
 	boundary.advance([]byte("GET / HTTP/1.1\r\n\r\n"))
 	if n := boundary.advance([]byte("more")); n != len("more") || boundary.phase != phaseHead {
--- a/internal/frontend/connection_test.go
+++ b/internal/frontend/connection_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// net/http reads a single byte of a head when its buffer has room for one more. That was once taken for its watch of a
-// client, which keeps what it reads: a head with a line of 4 KiB that arrived in pieces could stop there for ever.
-func TestReadOfOneByteInAHeadIsNoWatch(t *testing.T) {
+// net/http reads a single byte of a head when its buffer has room for only one more. Such a read must not be taken for
+// its disconnect detection, which returns no bytes: a head with a line of 4 KiB that arrives in pieces would stall.
+func TestOneByteReadOfHeadReturnsTheByte(t *testing.T) {
 	conn, client := acceptOne(t, newTestListener(t))
 	client.WriteText("GE")
 	for i, want := range "GE" {
@@ -18,8 +18,9 @@
 	}
 }
 
-// Of requests that arrive together only the first is passed on, until it has been answered.
-func TestReadStopsAtTheEndOfARequest(t *testing.T) {
+// If two requests arrive together, only the first must be passed on until it has been answered. A part of the second in
+// the buffer of net/http would go unnoticed, and its connection could be closed as idle.
+func TestReadStopsAtEndOfRequest(t *testing.T) {
 	const first, body, second = "POST / HTTP/1.1\r\n\r\n", "body", "GET / HTTP/1.1\r\n\r\n"
 	conn, client := acceptOne(t, newTestListener(t))
 	client.WriteText(first + body + second)
@@ -32,23 +33,23 @@
 	}
 	read(first)
 	if !conn.beginRequest(int64(len(body))) {
-		t.Fatal("the connection is evicted")
+		t.Fatal("the connection is closed")
 	}
 	read(body)
 	if !conn.hasUnread() {
-		t.Error("nothing tells of the second request")
+		t.Error("hasUnread does not report the second request")
 	}
 	trackState(conn, http.StateIdle)
 	read(second)
 	if conn.hasUnread() {
-		t.Error("something is left behind the second request")
+		t.Error("hasUnread reports bytes after the second request")
 	}
 }
 
-// A connection that closes with a request unanswered violates an invariant; one whose request was answered, or whose
-// client has gone, does not.
-func TestCloseGuard(t *testing.T) {
-	closes := func(prepare func(*clientConn)) (violation any) {
+// Closing a connection before its request is answered must be reported as an invariant violation. Closing it after the
+// response, or after the client has disconnected, must not.
+func TestCloseWithUnansweredRequestIsViolation(t *testing.T) {
+	closeAfter := func(prepare func(*clientConn)) (violation any) {
 		defer func() { violation = recover() }()
 		conn, _ := acceptOne(t, newTestListener(t))
 		conn.markUnanswered("a")
@@ -58,10 +59,10 @@
 		}
 		return nil
 	}
-	if closes((*clientConn).markAnswered) != nil || closes((*clientConn).markAbandoned) != nil {
-		t.Error("a violation though nothing is owed")
+	if closeAfter((*clientConn).markAnswered) != nil || closeAfter((*clientConn).markAbandoned) != nil {
+		t.Error("a violation although no response is due")
 	}
-	if closes(func(*clientConn) {}) == nil {
-		t.Error("no violation though an answer is owed")
+	if closeAfter(func(*clientConn) {}) == nil {
+		t.Error("no violation although a response is due")
 	}
 }
--- a/internal/frontend/forward_test.go
+++ b/internal/frontend/forward_test.go
@@ -14,6 +14,8 @@
 	"springfield/policy"
 )
 
+// An attempt must send the request as the client sent it, with its escaped path and its body, plus the remaining
+// deadline.
 func TestForwardedRequestIsUnchanged(t *testing.T) {
 	received := make(chan string, 1)
 	server := testkit.NewServer(t, func(conn net.Conn, r *http.Request) bool {
@@ -22,7 +24,7 @@
 			t.Error(err)
 		}
 		if r.Header.Get("Req-Deadline") == "" || r.Header["User-Agent"] != nil {
-			t.Errorf("the headers are %v", r.Header)
+			t.Errorf("Req-Deadline is missing or User-Agent is present: %v", r.Header)
 		}
 		received <- fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Host, " ",
 			r.Header["Req-Id"], r.Header["Idempotency-Key"], " ", string(body))
--- a/internal/frontend/fuzz_test.go
+++ b/internal/frontend/fuzz_test.go
@@ -16,27 +16,27 @@
 	"springfield/internal/upstream"
 )
 
-// fuzzGateways is the size of the fleet in the settings of the fuzz tests.
-const fuzzGateways = 16
+// fuzzGatewayCount is the number of gateways in the settings of the fuzz tests.
+const fuzzGatewayCount = 16
 
-// The wire forms of the protocol, apart from the parser's own checks. White space around the fields, of any kind that
-// unicode.IsSpace knows, does no harm.
+// Patterns of valid paths and quota headers, independent of the checks of the parser. Any white space in the sense of
+// unicode.IsSpace is allowed around the fields of a quota header.
 var (
-	pathForm  = regexp.MustCompile(`(?s)^/(lookup|add|pay)/(.*/)?([0-9a-fA-F]{16})$`)
-	quotaForm = regexp.MustCompile(`^` + quotaField + `,` + quotaField + `,` + quotaField + `$`)
+	pathPattern  = regexp.MustCompile(`(?s)^/(lookup|add|pay)/(.*/)?([0-9a-fA-F]{16})$`)
+	quotaPattern = regexp.MustCompile(`^` + quotaFieldPattern + `,` + quotaFieldPattern + `,` + quotaFieldPattern + `$`)
 )
 
-const quotaField = `[\s\v\x{85}\p{Z}]*(units|spread|first)=([0-9.]+)[\s\v\x{85}\p{Z}]*`
+const quotaFieldPattern = `[\s\v\x{85}\p{Z}]*(units|spread|first)=([0-9.]+)[\s\v\x{85}\p{Z}]*`
 
 func newFuzzParser(t testing.TB) (*requestParser, settings.Settings) {
 	t.Helper()
 	s := testkit.Settings(t)
-	s.Balancers = fuzzGateways
+	s.Balancers = fuzzGatewayCount
 	return newRequestParser(&s), s
 }
 
-// FuzzRequestHead checks that no request leads to a panic, that a bad one gets a client error, and that one that is
-// accepted keeps the bounds of the protocol.
+// FuzzRequestHead checks that no request causes a panic, that an invalid request gets a client error, and that an
+// accepted request is within the bounds of the protocol.
 func FuzzRequestHead(f *testing.F) {
 	parser, s := newFuzzParser(f)
 	f.Add([]byte(testkit.RequestHead(http.MethodGet, "lookup", "a", "0.480")))
@@ -44,7 +44,7 @@
 	f.Fuzz(func(t *testing.T, input []byte) {
 		request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(input)))
 		if err != nil {
-			return // net/http answers it
+			return // net/http responds to it
 		}
 		if err = checkFraming(request); err != nil {
 			checkClientError(t, err)
@@ -59,15 +59,17 @@
 	})
 }
 
+// checkClientError checks that the error is a RequestError with a 4xx status other than 429.
 func checkClientError(t *testing.T, err error) {
 	t.Helper()
 	requestError, ok := errors.AsType[*RequestError](err)
 	if !ok || requestError.Status < 400 || requestError.Status > 499 || requestError.Status == http.StatusTooManyRequests {
-		t.Errorf("%v is not a client's error", err)
+		t.Errorf("%v is not a client error", err)
 	}
 }
 
-// checkAccepted checks the bounds of the protocol for a request that was received an hour after the epoch.
+// checkAccepted checks that an accepted request, received at time.Hour of the gateway clock, is within the bounds of
+// the protocol.
 func checkAccepted(t *testing.T, s *settings.Settings, request *http.Request, parsed parsedRequest) {
 	t.Helper()
 	got := parsed.request
@@ -75,7 +77,7 @@
 		t.Fatalf("class %d, plan %d", got.Class, got.Plan)
 	}
 	class := &s.Classes[got.Class]
-	path := pathForm.FindStringSubmatch(request.URL.Path)
+	path := pathPattern.FindStringSubmatch(request.URL.Path)
 	if path == nil || path[1] != class.Name {
 		t.Fatalf("class %q for path %q", class.Name, request.URL.Path)
 	}
@@ -106,14 +108,14 @@
 		quotaInfo{units: got.Units, setSize: got.SetSize, setFirst: got.SetFirst})
 }
 
-// checkQuota checks what was read from an accepted quota header.
+// checkQuota checks the values that were parsed from an accepted quota header.
 func checkQuota(t *testing.T, maxUnits float64, text string, got quotaInfo) {
 	t.Helper()
-	if !(got.units > 0 && got.units <= maxUnits) || got.setSize < 1 || got.setSize > fuzzGateways ||
-		got.setFirst < 0 || got.setFirst >= fuzzGateways {
+	if !(got.units > 0 && got.units <= maxUnits) || got.setSize < 1 || got.setSize > fuzzGatewayCount ||
+		got.setFirst < 0 || got.setFirst >= fuzzGatewayCount {
 		t.Errorf("%q gives %+v", text, got)
 	}
-	fields := quotaForm.FindStringSubmatch(text)
+	fields := quotaPattern.FindStringSubmatch(text)
 	if fields == nil {
 		t.Fatalf("%q is accepted", text)
 	}
@@ -136,8 +138,8 @@
 	}
 }
 
-// FuzzQuotaInfo checks that no quota header leads to a panic, that what is accepted keeps the bounds, and that it can
-// be written and read again.
+// FuzzQuotaInfo checks that no quota header causes a panic, that accepted values are within their bounds, and that they
+// survive formatting and parsing.
 func FuzzQuotaInfo(f *testing.F) {
 	parser, s := newFuzzParser(f)
 	f.Add("units=2,spread=3,first=1")
@@ -153,9 +155,9 @@
 		if len(units) > maxNumberBytes {
 			return
 		}
-		written := fmt.Sprintf("units=%s,spread=%d,first=%d", units, got.setSize, got.setFirst)
-		if again, err := parser.parseQuotaInfo([]string{written}); err != nil || again != got {
-			t.Errorf("%q gives %+v, %q gives %+v, %v", text, got, written, again, err)
+		formatted := fmt.Sprintf("units=%s,spread=%d,first=%d", units, got.setSize, got.setFirst)
+		if reparsed, err := parser.parseQuotaInfo([]string{formatted}); err != nil || reparsed != got {
+			t.Errorf("%q gives %+v, %q gives %+v, %v", text, got, formatted, reparsed, err)
 		}
 	})
 }
--- a/internal/frontend/limiter_test.go
+++ b/internal/frontend/limiter_test.go
@@ -11,19 +11,21 @@
 	"springfield/internal/testkit"
 )
 
+// testLimit is the connection limit of newTestListener.
 const testLimit = 100
 
-// bufferSize is for reads of the tests. net/http's watch for the client's end would read a single byte.
+// bufferSize is the buffer size of reads in tests. It is not 1, because one-byte reads are the disconnect detection of
+// net/http.
 const bufferSize = 9
 
-// newTestListener returns a listener on the loopback interface that is limited to testLimit connections.
+// newTestListener returns a listener on the loopback interface with a limit of testLimit connections and no reserve.
 func newTestListener(t *testing.T) *limitedListener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // fails when the test has closed it already
+	t.Cleanup(func() { _ = listener.Close() }) // fails if the test has closed it already
 	limiter := newConnectionLimiter(testLimit)
 	limiter.limit, limiter.reserve = testLimit, 0
 	limited := &limitedListener{limiter: limiter}
@@ -31,7 +33,7 @@
 	return limited
 }
 
-// acceptOne connects a client and returns both ends.
+// acceptOne connects a client and returns both ends of the connection.
 func acceptOne(t *testing.T, listener *limitedListener) (*clientConn, *testkit.Client) {
 	t.Helper()
 	client := testkit.Dial(t, listener.Addr().String())
@@ -42,16 +44,16 @@
 	return conn.(*clientConn), client
 }
 
-// makeIdle lets a connection serve one request.
+// makeIdle makes a connection idle, as after its first request.
 func makeIdle(t *testing.T, conn *clientConn) {
 	t.Helper()
 	if !conn.beginRequest(0) {
-		t.Fatal("the connection is evicted")
+		t.Fatal("the connection is closed")
 	}
 	trackState(conn, http.StateIdle)
 }
 
-// readSome reads what the client has sent, at least one byte.
+// readSome reads at least one byte that the client has sent and returns the number of bytes.
 func readSome(t *testing.T, conn *clientConn) int {
 	t.Helper()
 	n, err := conn.Read(make([]byte, bufferSize))
@@ -61,6 +63,7 @@
 	return n
 }
 
+// wantOpen checks the number of connections that are open and not being closed.
 func wantOpen(t *testing.T, limiter *connectionLimiter, want int) {
 	t.Helper()
 	if got := limiter.excess() + testLimit; got != want {
@@ -68,34 +71,34 @@
 	}
 }
 
-// Requirements 1 and 2: a connection must not be closed for another one while its next request is being read. The
-// client would send the request again while the first copy ran.
+// A connection must not be evicted while its next request is being read. Otherwise the client would send the request
+// again while the first copy runs, and would get no response to the latter.
 func TestConnectionIsNotEvictedWhileRequestIsRead(t *testing.T) {
 	listener := newTestListener(t)
-	limiter, late := listener.limiter, time.Now().Add(time.Hour)
+	limiter, inOneHour := listener.limiter, time.Now().Add(time.Hour)
 	conn, client := acceptOne(t, listener)
 	makeIdle(t, conn)
 	if limiter.evict(time.Now()) {
-		t.Error("evicted though it has been idle for a moment only")
+		t.Error("evicted although it has just become idle")
 	}
 	client.WriteText("GET")
 	readSome(t, conn)
-	if limiter.evict(late) || limiter.continueDrain(late, false) {
-		t.Error("closed though a request is being read")
+	if limiter.evict(inOneHour) || limiter.continueDrain(inOneHour, false) {
+		t.Error("closed although a request is being read")
 	}
 	wantOpen(t, limiter, 1)
 }
 
-// Bytes that wait to be read keep a connection open.
+// Unread bytes may be a request, so a connection with unread bytes must not be closed.
 func TestConnectionWithUnreadBytesIsNotEvicted(t *testing.T) {
 	listener := newTestListener(t)
-	limiter, late := listener.limiter, time.Now().Add(time.Hour)
+	limiter, inOneHour := listener.limiter, time.Now().Add(time.Hour)
 	conn, client := acceptOne(t, listener)
 	makeIdle(t, conn)
 	client.WriteText("G")
 	testkit.Eventually(t, "the bytes", conn.hasUnread)
-	if limiter.evict(late) || limiter.continueDrain(late, false) {
-		t.Error("closed though a request waits to be read")
+	if limiter.evict(inOneHour) || limiter.continueDrain(inOneHour, false) {
+		t.Error("closed although a request waits to be read")
 	}
 	wantOpen(t, limiter, 1)
 	if n := readSome(t, conn); n != 1 {
@@ -103,7 +106,7 @@
 	}
 }
 
-// wantClosed reads a connection that the limiter has interrupted, and fails unless that closes it.
+// wantClosed reads from a connection that the limiter has interrupted and checks that the read closes the connection.
 func wantClosed(t *testing.T, conn *clientConn) {
 	t.Helper()
 	if n, err := conn.Read(make([]byte, bufferSize)); n != 0 || !errors.Is(err, net.ErrClosed) {
@@ -114,15 +117,15 @@
 	}
 }
 
-// Bytes that come after the last look for some do not keep a connection open, and nobody reads them: their client sends
-// them again.
-func TestBytesAfterEvictionAreNotRead(t *testing.T) {
+// Bytes that arrive after the last check for unread bytes must not be read from a connection that is closed. Their
+// request would run although the client sends it again.
+func TestBytesArrivingAfterEvictionAreNotRead(t *testing.T) {
 	listener := newTestListener(t)
-	limiter, late := listener.limiter, time.Now().Add(time.Hour)
+	limiter, inOneHour := listener.limiter, time.Now().Add(time.Hour)
 	conn, client := acceptOne(t, listener)
 	makeIdle(t, conn)
-	if !limiter.evict(late) {
-		t.Fatal("not evicted though it is idle")
+	if !limiter.evict(inOneHour) {
+		t.Fatal("not evicted although it is idle")
 	}
 	limiter.hasUnread = func(c *clientConn) bool {
 		unread := c.hasUnread()
@@ -132,44 +135,46 @@
 	}
 	wantClosed(t, conn)
 	if conn.beginRequest(0) {
-		t.Error("a request is served on it")
+		t.Error("a request is served on the closed connection")
 	}
 }
 
-// Deadlines that are set while a connection is closing do not keep it open, and the last one holds if it stays.
-func TestDeadlinesOfClosingConnection(t *testing.T) {
+// net/http may set a read deadline while a connection is closing. That must not keep the connection open, but it must
+// apply if the connection stays open because bytes have arrived.
+func TestReadDeadlineDoesNotStopClosing(t *testing.T) {
 	listener := newTestListener(t)
-	limiter, late := listener.limiter, time.Now().Add(time.Hour)
+	limiter, inOneHour := listener.limiter, time.Now().Add(time.Hour)
 	conn, client := acceptOne(t, listener)
 	makeIdle(t, conn)
-	limiter.evict(late)
-	if err := conn.SetReadDeadline(late); err != nil {
+	limiter.evict(inOneHour)
+	if err := conn.SetReadDeadline(inOneHour); err != nil {
 		t.Fatal(err)
 	}
 	client.WriteText("GET")
 	testkit.Eventually(t, "the bytes", conn.hasUnread)
 	if n := readSome(t, conn); n == 0 || conn.state != stateActive {
-		t.Errorf("read %d bytes; in state %d", n, conn.state)
+		t.Errorf("read %d bytes, the connection is in state %d", n, conn.state)
 	}
 	if conn.readDeadline.After(time.Now().Add(headerTimeout)) {
-		t.Errorf("the rest of the head may take until %v", conn.readDeadline)
+		t.Errorf("the read deadline for the rest of the head is %v", conn.readDeadline)
 	}
 	other, _ := acceptOne(t, listener)
 	makeIdle(t, other)
-	limiter.evict(late)
-	if err := other.SetReadDeadline(late); err != nil {
+	limiter.evict(inOneHour)
+	if err := other.SetReadDeadline(inOneHour); err != nil {
 		t.Fatal(err)
 	}
 	wantClosed(t, other)
 }
 
-// The oldest connection that has not sent a complete head is evicted first.
-func TestEvictionOrder(t *testing.T) {
+// Connections without a complete head must be evicted first, the oldest before the others, and then idle connections. A
+// connection with an active request must not be evicted.
+func TestIncompleteRequestsAreEvictedBeforeIdleConnections(t *testing.T) {
 	listener := newTestListener(t)
-	limiter, late := listener.limiter, time.Now().Add(time.Hour)
+	limiter, inOneHour := listener.limiter, time.Now().Add(time.Hour)
 	active, _ := acceptOne(t, listener)
 	if !active.beginRequest(0) {
-		t.Fatal("the active connection is evicted")
+		t.Fatal("the active connection is closed")
 	}
 	idle, _ := acceptOne(t, listener)
 	makeIdle(t, idle)
@@ -178,12 +183,12 @@
 	readSome(t, incomplete)
 	silent, _ := acceptOne(t, listener)
 	for i, want := range []*clientConn{incomplete, silent, idle} {
-		if !limiter.evict(late) || want.state != stateClosing {
-			t.Errorf("another connection was evicted than one in state %d", want.state)
+		if !limiter.evict(inOneHour) || want.state != stateClosing {
+			t.Errorf("the wrong connection was evicted; the expected one is in state %d", want.state)
 		}
 		wantOpen(t, limiter, 3-i)
 	}
-	if limiter.evict(late) {
+	if limiter.evict(inOneHour) {
 		t.Error("evicted an active connection")
 	}
 	for _, conn := range []*clientConn{incomplete, silent, idle} {
@@ -192,8 +197,9 @@
 	wantOpen(t, limiter, 1)
 }
 
-// Requirement 1 in a drain: its end cuts no request off, and a head that is complete only then is not served.
-func TestDrainEndsBetweenRequests(t *testing.T) {
+// A drain must not cut off a request whose head is complete. A head that becomes complete only after the end of the
+// drain must not be served.
+func TestDrainWaitsForRequests(t *testing.T) {
 	listener := newTestListener(t)
 	limiter, now := listener.limiter, time.Now()
 	conn, client := acceptOne(t, listener)
@@ -207,7 +213,7 @@
 	}
 	conn.state = stateReadingHead
 	if limiter.continueDrain(now, true) {
-		t.Error("the drain ended while a goroutine may have read something")
+		t.Error("the drain ended before the goroutine of the connection had closed it")
 	}
 	wantClosed(t, conn)
 	if !limiter.continueDrain(now, true) || conn.beginRequest(0) {
@@ -218,12 +224,12 @@
 	}
 }
 
-// A request that is read in the moment in which its connection is chosen for eviction is served: its bytes have left
-// the receive buffer, so that nothing tells of them, and closing would lose it.
+// A request that is read at the moment in which its connection is chosen for eviction must be served. Its bytes have
+// left the receive buffer, so the limiter cannot see them, and closing the connection would lose the request.
 func TestRequestReadDuringEvictionIsServed(t *testing.T) {
 	for _, inDrain := range []bool{false, true} {
 		listener := newTestListener(t)
-		limiter, late := listener.limiter, time.Now().Add(time.Hour)
+		limiter, inOneHour := listener.limiter, time.Now().Add(time.Hour)
 		conn, client := acceptOne(t, listener)
 		makeIdle(t, conn)
 		const request = "GET / HTTP/1.1\r\n\r\n"
@@ -238,19 +244,19 @@
 				n, err := conn.Read(make([]byte, len(request)))
 				results <- result{n, err}
 			}()
-			testkit.Eventually(t, "the read", func() bool { return !c.hasUnread() }) // it waits for the limiter now
+			testkit.Eventually(t, "the read", func() bool { return !c.hasUnread() }) // the read now waits for limiter.mu
 			return false
 		}
 		if inDrain {
-			limiter.continueDrain(late, false)
+			limiter.continueDrain(inOneHour, false)
 		} else {
-			limiter.evict(late)
+			limiter.evict(inOneHour)
 		}
 		if got := testkit.Receive(t, "the read", results); got.n != len(request) || got.err != nil {
-			t.Errorf("in a drain %v: read %d bytes, %v", inDrain, got.n, got.err)
+			t.Errorf("in drain %v: read %d bytes, %v", inDrain, got.n, got.err)
 		}
 		if !conn.beginRequest(0) {
-			t.Errorf("in a drain %v: the request is not served", inDrain)
+			t.Errorf("in drain %v: the request is not served", inDrain)
 		}
 	}
 }
--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -9,7 +9,8 @@
 	"springfield/internal/testkit"
 )
 
-// Requirement 1 in a drain: connections that the machine has accepted are taken over before the listener stops.
+// Connections in the accept queue of the operating system must be accepted before the listener stops, or their requests
+// would get no response. New connections must not delay the stop for longer than its deadline.
 func TestBacklogIsAcceptedBeforeListenerStops(t *testing.T) {
 	const backlog = 20
 	listener := newTestListener(t)
@@ -17,7 +18,7 @@
 		testkit.Dial(t, listener.Addr().String())
 	}
 	listener.stop()
-	listener.stopDeadline = time.Now().Add(testkit.Timeout) // on a slow machine too
+	listener.stopDeadline = time.Now().Add(testkit.Timeout) // long enough for a slow machine
 	for i := range backlog {
 		if _, err := listener.Accept(); err != nil {
 			t.Fatalf("connection %d: %v", i, err)
@@ -27,21 +28,21 @@
 		t.Errorf("after the last connection: %v", err)
 	}
 
-	// A connection that comes later does not keep the listener from stopping.
+	// A connection that arrives after the deadline does not keep the listener from stopping.
 	listener.stopDeadline = time.Now().Add(-time.Second)
 	testkit.Dial(t, listener.Addr().String())
 	if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("once its time is up: %v", err)
+		t.Errorf("after the stop deadline: %v", err)
 	}
 }
 
-// A stop that comes before the listener is attached takes effect as well, and the backlog is accepted.
-func TestStopBeforeAttach(t *testing.T) {
+// stop may be called before attach. It must take effect after the backlog of the attached listener has been accepted.
+func TestStopBeforeAttachAcceptsBacklog(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = inner.Close() }) // the test fails before if it matters
+	t.Cleanup(func() { _ = inner.Close() }) // an error that matters fails the test before
 	testkit.Dial(t, inner.Addr().String())
 	listener := &limitedListener{limiter: newConnectionLimiter(testLimit)}
 	listener.stop()
@@ -55,8 +56,8 @@
 	}
 }
 
-// A connection that is being evicted holds its descriptor until its own goroutine has closed it: no further one is
-// handed over before.
+// An evicted connection holds its descriptor until its own goroutine has closed it. Accept must not return another
+// connection before that, or the process could run out of descriptors.
 func TestAcceptWaitsForEvictedConnections(t *testing.T) {
 	listener := newTestListener(t)
 	limiter := listener.limiter
@@ -66,21 +67,21 @@
 	idle.stateSince = time.Now().Add(-time.Hour)
 	testkit.Dial(t, listener.Addr().String())
 	type result struct {
-		beyond int
+		excess int
 		err    error
 	}
 	accepted := make(chan result, 1)
 	go func() {
 		_, err := listener.Accept()
-		beyond, _ := limiter.excessWithClosing()
-		accepted <- result{beyond, err}
+		excess, _ := limiter.excessWithClosing()
+		accepted <- result{excess, err}
 	}()
 	testkit.Eventually(t, "the eviction", func() bool {
 		_, closing := limiter.excessWithClosing()
 		return closing == 1
 	})
 	wantClosed(t, idle)
-	if got := testkit.Receive(t, "the connection", accepted); got.beyond > 0 || got.err != nil {
-		t.Errorf("handed over with %d connections beyond the limit, %v", got.beyond, got.err)
+	if got := testkit.Receive(t, "the connection", accepted); got.excess > 0 || got.err != nil {
+		t.Errorf("Accept returned with %d connections beyond the limit, %v", got.excess, got.err)
 	}
 }
--- a/internal/frontend/request_test.go
+++ b/internal/frontend/request_test.go
@@ -8,9 +8,9 @@
 	"springfield/internal/testkit"
 )
 
-// Requirement 1: the last command for a request comes before its client gives up, and no client makes the gateway wait
-// for longer than its class does.
-func TestDeadlineKeepsMargin(t *testing.T) {
+// The last command for a request must be given before the client gives up. A client must not extend the deadline of a
+// request beyond that of its class.
+func TestDeadlineIsCappedAndKeepsMargin(t *testing.T) {
 	settings := testkit.Settings(t)
 	parser := newRequestParser(&settings)
 	for text, want := range map[string]time.Duration{
