--- a/cmd/gateway/descriptors_test.go
+++ b/cmd/gateway/descriptors_test.go
@@ -13,25 +13,25 @@
 	"springfield/internal/testkit"
 )
 
-// Idle clients fill the descriptors while discovery is down. The program goes on, and once discovery is back its call,
-// the dials to endpoints and new clients still get a descriptor each, at once. The limit is a real one. It is told in
-// the configuration, as in a deployment, or only by the machine.
-func TestIdleClientsLeaveDescriptorsForTheRest(t *testing.T) {
+// Idle clients must not use up the file descriptors. When discovery is back after an outage, the call to it, the dials
+// to endpoints and the connections of new clients must each get a descriptor at once. The program runs with a real
+// descriptor limit, which it learns from the configuration or only from the operating system.
+func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	for name, limits := range map[string]string{
-		"limit in the configuration": `,"limits":{"sockets":48}`,
-		"limit of the machine":       "",
+		"limit in the configuration":    `,"limits":{"sockets":48}`,
+		"limit of the operating system": "",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Setenv(descriptorLimitVariable, "48")
-			testDescriptorsForTheRest(t, limits)
+			testIdleClientsDoNotExhaustDescriptors(t, limits)
 		})
 	}
 }
 
-func testDescriptorsForTheRest(t *testing.T, limits string) {
+func testIdleClientsDoNotExhaustDescriptors(t *testing.T, limits string) {
 	const concurrent = 6
 	endpoint := listen(t, "127.0.0.1:0")
-	serveHTTP(t, endpoint, concurrently(concurrent))
+	serveHTTP(t, endpoint, answerOnceConcurrent(concurrent))
 	down := listen(t, "127.0.0.1:0")
 	discovery := down.Addr().String()
 	if err := down.Close(); err != nil {
@@ -49,7 +49,7 @@
 	list := testkit.EndpointListJSON(1, true, testkit.EndpointLine("s", endpoint.Addr().String(), "up", 0))
 	serveHTTP(t, listen(t, discovery), func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("watch") == "" {
-			_, _ = io.WriteString(w, list) // a gateway without it answers no request
+			_, _ = io.WriteString(w, list) // without an endpoint list the gateway serves no request
 			return
 		}
 		w.WriteHeader(http.StatusOK)
@@ -60,9 +60,9 @@
 	select {
 	case <-watched:
 	case rest := <-log:
-		t.Fatalf("the program ended: %s", rest)
+		t.Fatalf("the program ended; log: %s", rest)
 	case <-time.After(testkit.Timeout):
-		t.Fatal("the call to discovery got no descriptor")
+		t.Fatal("the gateway did not open a watch of discovery")
 	}
 
 	responses := make(chan testkit.Response, concurrent)
@@ -82,25 +82,26 @@
 	gateway.signal(syscall.SIGTERM)
 	rest := <-log
 	if err := gateway.command.Wait(); err != nil || strings.Contains(rest, "too many open files") {
-		t.Errorf("%v; log: %s", err, rest)
+		t.Errorf("the program ended with %v; log: %s", err, rest)
 	}
 }
 
-// concurrently answers requests once so many are in flight, so that each needs a connection of its own.
-func concurrently(requests int32) http.HandlerFunc {
+// answerOnceConcurrent returns a handler that answers requests once the given number of them is in flight, so that each
+// of them needs a connection of its own.
+func answerOnceConcurrent(requests int32) http.HandlerFunc {
 	var received atomic.Int32
-	all := make(chan struct{})
+	allReceived := make(chan struct{})
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if received.Add(1) == requests {
-			close(all)
+			close(allReceived)
 		}
-		<-all
-		_, _ = io.WriteString(w, "done") // its client checks the response
+		<-allReceived
+		_, _ = io.WriteString(w, "done") // the client checks the response
 	}
 }
 
-// fillWithIdleClients opens far more connections than the gateway has descriptors. Half of them send nothing, half are
-// idle after a request.
+// fillWithIdleClients opens far more connections than the gateway has descriptors. Half of them send nothing, and half
+// are idle after a request.
 func fillWithIdleClients(t *testing.T, address string) {
 	t.Helper()
 	const connections = 120
--- a/cmd/gateway/log_test.go
+++ b/cmd/gateway/log_test.go
@@ -10,7 +10,7 @@
 	"springfield/internal/testkit"
 )
 
-// oneEndpointConfig is a complete configuration with one endpoint, which serves requests of class pay.
+// oneEndpointConfig returns a complete configuration with the class pay and one endpoint.
 func oneEndpointConfig(discovery, endpoint string) string {
 	return `{"name":"n0","listen":"127.0.0.1:0","discovery":"` + discovery + `",
 "known":{"version":1,"full":true,"servers":[{"id":"s","addr":"` + endpoint + `","state":"up","weight":1}]},
@@ -19,9 +19,10 @@
 	"Contracts":[{"Name":"team","UnitsPerS":10,"Burst":10,"Pays":1}]}}`
 }
 
-// brokenConfig cannot be parsed: a reload of it is logged and changes nothing.
+// brokenConfig cannot be parsed. Reloading it is logged and changes nothing.
 const brokenConfig = "{"
 
+// replaceConfig replaces a configuration file atomically.
 func replaceConfig(t *testing.T, file, text string) {
 	t.Helper()
 	if err := os.WriteFile(file+"~", []byte(text), 0o600); err != nil {
@@ -35,13 +36,13 @@
 // startWithLogPipe starts the program with a pipe as its standard error and returns both ends of the pipe.
 func startWithLogPipe(t *testing.T, file string) (gateway *program, reader, writer *os.File) {
 	t.Helper()
-	var ends [2]int // os.Pipe would put the end that the program gets into non-blocking mode
+	var ends [2]int // os.Pipe would make the write end non-blocking
 	if err := syscall.Pipe2(ends[:], syscall.O_CLOEXEC); err != nil {
 		t.Fatal(err)
 	}
 	reader, writer = os.NewFile(uintptr(ends[0]), "log reader"), os.NewFile(uintptr(ends[1]), "log writer")
 	t.Cleanup(func() {
-		_ = reader.Close() // fails when the test has closed it
+		_ = reader.Close() // fails if the test has closed it
 		_ = writer.Close()
 	})
 	gateway = startProgramWith(t, file, func(command *exec.Cmd) *os.File {
@@ -51,7 +52,7 @@
 	return gateway, reader, writer
 }
 
-// registryWith returns a discovery service that lists the endpoint.
+// registryWith starts a discovery service that lists the endpoint.
 func registryWith(t *testing.T, endpoint *testkit.Server) *testkit.Registry {
 	t.Helper()
 	registry := testkit.NewRegistry(t)
@@ -59,6 +60,7 @@
 	return registry
 }
 
+// wantServed sends a request of customer i and checks that it is served.
 func wantServed(t *testing.T, gateway *program, i int) {
 	t.Helper()
 	response := testkit.RoundTrip(http.DefaultClient, payRequest(t, gateway.address, i))
@@ -67,8 +69,9 @@
 	}
 }
 
-// A log whose reader has gone costs log lines and nothing else. The first line once ended the process by SIGPIPE.
-func TestLogReaderThatLeavesDoesNotEndTheProgram(t *testing.T) {
+// If the reader of standard error closes the pipe, only log lines may be lost. Without handling of SIGPIPE the next log
+// line would end the process.
+func TestClosedLogReaderDoesNotEndProgram(t *testing.T) {
 	endpoint := testkit.NewServer(t, testkit.Reply(testkit.ResponseOK, true))
 	registry, next := registryWith(t, endpoint), registryWith(t, endpoint)
 	file := writeConfig(t, oneEndpointConfig(registry.Address(), endpoint.Address()))
@@ -81,7 +84,7 @@
 	replaceConfig(t, file, brokenConfig)
 	gateway.signal(syscall.SIGHUP) // logs that the configuration is kept
 	replaceConfig(t, file, oneEndpointConfig(next.Address(), endpoint.Address()))
-	gateway.signal(syscall.SIGHUP) // logs that it is reloaded
+	gateway.signal(syscall.SIGHUP) // logs that the configuration is reloaded
 	testkit.Receive(t, "a watch at the next address", next.Watches)
 	gateway.signal(syscall.SIGTERM)
 	if err := gateway.command.Wait(); err != nil {
@@ -89,9 +92,9 @@
 	}
 }
 
-// A log that nobody reads blocks nothing: not the reload of the configuration, not discovery, not requests, not the
-// end of the program.
-func TestFullLogPipeBlocksNothing(t *testing.T) {
+// If nobody reads the log, writes to the full pipe must not block the reload of the configuration, discovery, requests
+// or the end of the program.
+func TestFullLogPipeDoesNotBlockProgram(t *testing.T) {
 	endpoint := testkit.NewServer(t, testkit.Reply(testkit.ResponseOK, true))
 	registry, next := registryWith(t, endpoint), registryWith(t, endpoint)
 	file := writeConfig(t, oneEndpointConfig(registry.Address(), endpoint.Address()))
@@ -113,7 +116,7 @@
 	}
 }
 
-// fillPipe writes to the pipe until it is full, and leaves it in blocking mode, which the program shares.
+// fillPipe writes to the pipe until it is full. It leaves the pipe in blocking mode, which applies to the program too.
 func fillPipe(t *testing.T, writer *os.File) {
 	t.Helper()
 	fd := int(writer.Fd())
--- a/cmd/gateway/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -19,10 +19,10 @@
 	"springfield/internal/testkit"
 )
 
-// descriptorLimitVariable holds the limit on file descriptors that the program under test runs with.
+// descriptorLimitVariable is the environment variable for the file descriptor limit of the program under test.
 const descriptorLimitVariable = "TEST_FILES"
 
-// TestMain lets the test binary stand in for the program.
+// TestMain makes the test binary act as the program if RELAY_CONFIG is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("RELAY_CONFIG") == "" {
 		os.Exit(m.Run())
@@ -35,13 +35,14 @@
 	os.Exit(0)
 }
 
-func limitDescriptors(text string) error {
-	if text == "" {
+// limitDescriptors sets the file descriptor limit of the process, unless value is empty.
+func limitDescriptors(value string) error {
+	if value == "" {
 		return nil
 	}
-	limit, err := strconv.ParseUint(text, 10, 64)
+	limit, err := strconv.ParseUint(value, 10, 64)
 	if err != nil {
-		return fmt.Errorf("the limit on descriptors: %w", err)
+		return fmt.Errorf("parse the descriptor limit: %w", err)
 	}
 	return syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: limit, Max: limit})
 }
@@ -51,10 +52,10 @@
 	t       *testing.T
 	command *exec.Cmd
 	address string
-	log     *bufio.Reader // what follows the line that tells the address
+	log     *bufio.Reader // the log after the line with the address
 }
 
-// startProgram runs the gateway with a configuration file and waits until it listens.
+// startProgram starts the gateway with a configuration file and waits until it listens.
 func startProgram(t *testing.T, file string) *program {
 	t.Helper()
 	return startProgramWith(t, file, func(command *exec.Cmd) *os.File {
@@ -66,8 +67,8 @@
 	})
 }
 
-// startProgramWith is startProgram with a function that sets the program's standard error and returns the end of it
-// that the test reads.
+// startProgramWith is like startProgram, but connectLog sets the standard error of the program and returns the file
+// from which the test reads it.
 func startProgramWith(t *testing.T, file string, connectLog func(*exec.Cmd) *os.File) *program {
 	t.Helper()
 	command := exec.Command(os.Args[0])
@@ -76,18 +77,19 @@
 	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
-	kill := func() { _ = command.Process.Kill() } // fails when the process has ended
-	overdue := time.AfterFunc(3*testkit.Timeout, kill)
-	t.Cleanup(func() { overdue.Stop(); kill() })
+	kill := func() { _ = command.Process.Kill() } // fails if the process has ended
+	killTimer := time.AfterFunc(3*testkit.Timeout, kill)
+	t.Cleanup(func() { killTimer.Stop(); kill() })
 	p := &program{t: t, command: command, log: bufio.NewReader(stderr)}
 	_, address, ok := strings.Cut(strings.TrimSpace(p.awaitLog(" msg=listening ")), " address=")
 	if !ok {
-		t.Fatal("the log does not tell the address")
+		t.Fatal("the log line has no address")
 	}
 	p.address = address
 	return p
 }
 
+// signal sends a signal to the program.
 func (p *program) signal(signal syscall.Signal) {
 	p.t.Helper()
 	if err := p.command.Process.Signal(signal); err != nil {
@@ -95,7 +97,7 @@
 	}
 }
 
-// collectLog returns a channel that gets the rest of the log once the program has closed it.
+// collectLog returns a channel that receives the rest of the log once the program has closed it.
 func (p *program) collectLog() <-chan string {
 	log := make(chan string, 1)
 	go func() {
@@ -108,7 +110,7 @@
 	return log
 }
 
-// awaitLog reads the log up to a line that contains the text, and returns the line.
+// awaitLog reads the log up to the next line that contains the text and returns that line.
 func (p *program) awaitLog(text string) string {
 	p.t.Helper()
 	for {
@@ -122,7 +124,7 @@
 	}
 }
 
-// writeConfig writes a configuration file and returns its name.
+// writeConfig writes a configuration file and returns its path.
 func writeConfig(t *testing.T, text string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -141,20 +143,21 @@
 			t.Error(err)
 		}
 	}()
-	t.Cleanup(func() { _ = server.Close() }) // nobody uses the connections any more
+	t.Cleanup(func() { _ = server.Close() }) // the connections are not used any more
 }
 
+// listen opens a TCP listener until the end of the test.
 func listen(t *testing.T, address string) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // fails when its server has closed it
+	t.Cleanup(func() { _ = listener.Close() }) // fails if its server has closed it
 	return listener
 }
 
-// payRequest is a request of the class pay for customer i, from 0 to 9.
+// payRequest returns a request of class pay for customer i, from 0 to 9.
 func payRequest(t *testing.T, address string, i int) *http.Request {
 	t.Helper()
 	path := "/pay/000000000000000" + strconv.Itoa(i)
--- a/cmd/gateway/signal_test.go
+++ b/cmd/gateway/signal_test.go
@@ -12,8 +12,8 @@
 	"springfield/internal/testkit"
 )
 
-// SIGTERM with a request in flight answers it, and the program exits with 0.
-func TestSIGTERMAnswersAndExitsCleanly(t *testing.T) {
+// After SIGTERM the program must answer a request in flight before it exits, with status 0.
+func TestSIGTERMDrainsAndExitsCleanly(t *testing.T) {
 	endpoint := listen(t, "127.0.0.1:0")
 	received, release := make(chan struct{}), make(chan struct{})
 	serveHTTP(t, endpoint, func(w http.ResponseWriter, _ *http.Request) {
@@ -36,7 +36,7 @@
 	select {
 	case <-received:
 	case response := <-responses:
-		t.Fatalf("not forwarded: %+v", response)
+		t.Fatalf("the request was not forwarded: %+v", response)
 	}
 	gateway.signal(syscall.SIGTERM)
 	testkit.Eventually(t, "the end of the listener", func() bool {
@@ -52,20 +52,20 @@
 	}
 	rest := <-log
 	if err := gateway.command.Wait(); err != nil {
-		t.Errorf("%v; log: %s", err, rest)
+		t.Errorf("the program ended with %v; log: %s", err, rest)
 	}
 }
 
-// At SIGHUP the program follows the new address of discovery, again and again. It keeps the old one when the file
-// cannot be read, and SIGTERM still ends it. A SIGHUP once ended the process.
-func TestSIGHUPFollowsTheNewDiscovery(t *testing.T) {
+// At each SIGHUP the program must switch to the discovery address in its configuration file, or keep the old one if the
+// file cannot be parsed. A SIGHUP must never end the process, not even during a drain, and SIGTERM must still do so.
+func TestSIGHUPSwitchesDiscoveryAddress(t *testing.T) {
 	config := func(discovery string) string {
 		return `{"name":"n0","listen":"127.0.0.1:0","discovery":"` + discovery + `",
 "settings":{"Balancers":1,"Classes":[{"Name":"pay","HardLimitMs":1000,"Repeat":"at_most_once","Value":1}],
 "Contracts":[{"Name":"team","UnitsPerS":10,"Burst":10,"Pays":1}]}}`
 	}
-	one, two, three := testkit.NewRegistry(t), testkit.NewRegistry(t), testkit.NewRegistry(t)
-	file := writeConfig(t, config(one.Address()))
+	first, second, third := testkit.NewRegistry(t), testkit.NewRegistry(t), testkit.NewRegistry(t)
+	file := writeConfig(t, config(first.Address()))
 	replace := func(discovery string) {
 		t.Helper()
 		if err := os.WriteFile(file+"~", []byte(config(discovery)), 0o600); err != nil {
@@ -76,11 +76,11 @@
 		}
 	}
 	gateway := startProgram(t, file)
-	testkit.Receive(t, "a watch at the first address", one.Watches)
+	testkit.Receive(t, "a watch at the first address", first.Watches)
 
-	replace(two.Address())
+	replace(second.Address())
 	gateway.signal(syscall.SIGHUP)
-	testkit.Receive(t, "a watch at the second address", two.Watches)
+	testkit.Receive(t, "a watch at the second address", second.Watches)
 
 	if err := os.WriteFile(file, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
@@ -88,24 +88,24 @@
 	gateway.signal(syscall.SIGHUP)
 	gateway.awaitLog(`msg="configuration kept"`)
 
-	replace(three.Address())
+	replace(third.Address())
 	for range 3 {
 		gateway.signal(syscall.SIGHUP)
 	}
-	testkit.Receive(t, "a watch at the third address", three.Watches)
+	testkit.Receive(t, "a watch at the third address", third.Watches)
 	gateway.signal(syscall.SIGTERM)
-	gateway.signal(syscall.SIGHUP) // also during a drain
+	gateway.signal(syscall.SIGHUP) // must have no effect during a drain
 	rest := <-gateway.collectLog()
 	if err := gateway.command.Wait(); err != nil {
-		t.Errorf("%v; log: %s", err, rest)
+		t.Errorf("the program ended with %v; log: %s", err, rest)
 	}
 }
 
-// A SIGHUP that comes before the program handles signals does not end it, since the deploy file starts it with SIGHUP
-// ignored; from then on SIGHUP reloads the configuration all the same.
-func TestSIGHUPIgnoredAtTheStartReloadsLater(t *testing.T) {
-	one, two := testkit.NewRegistry(t), testkit.NewRegistry(t)
-	file := writeConfig(t, oneEndpointConfig(one.Address(), "127.0.0.1:1"))
+// The deploy file starts the program with SIGHUP ignored, so that a SIGHUP before the program handles signals does not
+// end it. Later a SIGHUP must reload the configuration nevertheless.
+func TestSIGHUPIgnoredAtStartReloadsLater(t *testing.T) {
+	first, second := testkit.NewRegistry(t), testkit.NewRegistry(t)
+	file := writeConfig(t, oneEndpointConfig(first.Address(), "127.0.0.1:1"))
 	gateway := startProgramWith(t, file, func(command *exec.Cmd) *os.File {
 		command.Path, command.Args = "/bin/sh", []string{"sh", "-c", `trap '' HUP; kill -HUP $$; exec "$0"`, command.Path}
 		stderr, err := command.StderrPipe()
@@ -114,8 +114,8 @@
 		}
 		return stderr.(*os.File)
 	})
-	testkit.Receive(t, "a watch at the first address", one.Watches)
-	replaceConfig(t, file, oneEndpointConfig(two.Address(), "127.0.0.1:1"))
+	testkit.Receive(t, "a watch at the first address", first.Watches)
+	replaceConfig(t, file, oneEndpointConfig(second.Address(), "127.0.0.1:1"))
 	gateway.signal(syscall.SIGHUP)
-	testkit.Receive(t, "a watch at the second address", two.Watches)
+	testkit.Receive(t, "a watch at the second address", second.Watches)
 }
