--- a/internal/gateway/client_disconnect_test.go
+++ b/internal/gateway/client_disconnect_test.go
@@ -11,21 +11,23 @@
 	"springfield/internal/testkit"
 )
 
-// departure is a way in which a client goes: net/http watches a client only from the last byte of its request on, and
-// a connection may be closed or reset.
-type departure struct {
+// disconnect is a way in which a client disconnects after a request. The cases differ in whether the request has a
+// body, because net/http detects disconnects only after the last byte of a request, and in whether the connection is
+// closed or reset.
+type disconnect struct {
 	request string
 	reset   bool
 }
 
-var departures = []departure{
-	{slowRequest("lookup", "leaver"), false},
-	{slowRequest("lookup", "leaver"), true},
-	{slowRequest("pay", "leaver"), false},
-	{slowRequest("pay", "leaver"), true},
+var disconnects = []disconnect{
+	{longDeadlineRequest("lookup", "disconnecting"), false},
+	{longDeadlineRequest("lookup", "disconnecting"), true},
+	{longDeadlineRequest("pay", "disconnecting"), false},
+	{longDeadlineRequest("pay", "disconnecting"), true},
 }
 
-func (d departure) leave(t *testing.T, client *testkit.Client) {
+// perform disconnects the client.
+func (d disconnect) perform(t *testing.T, client *testkit.Client) {
 	t.Helper()
 	if d.reset {
 		client.Reset()
@@ -41,10 +43,10 @@
 	}
 }
 
-// forEachDeparture runs the test for each way in which a client goes, with settings that allow attempts to be
-// cancelled and with such that do not.
-func forEachDeparture(t *testing.T, test func(t *testing.T, d departure, canCancel bool)) {
-	for _, d := range departures {
+// forEachDisconnect runs a test for each way in which a client disconnects, with settings that allow cancelling
+// attempts and with settings that do not.
+func forEachDisconnect(t *testing.T, test func(t *testing.T, d disconnect, canCancel bool)) {
+	for _, d := range disconnects {
 		for _, canCancel := range []bool{true, false} {
 			method := d.request[:4]
 			t.Run(fmt.Sprintf("%s, reset %v, cancel %v", method, d.reset, canCancel), func(t *testing.T) {
@@ -54,7 +56,7 @@
 	}
 }
 
-// A client that disconnects frees the endpoint that works for it.
+// When a client disconnects, its attempt must be cancelled, or the endpoint would go on working for nobody.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	received := make(chan struct{}, 1)
 	server := testkit.NewServer(t, func(net.Conn, *http.Request) bool { received <- struct{}{}; return true })
@@ -68,43 +70,43 @@
 	testkit.WaitFor(t, "the closed connection", server.Closed)
 }
 
-// A request whose client has gone while it waits for a connection is not forwarded.
-func TestClientGoneDuringDialIsNotForwarded(t *testing.T) {
-	forEachDeparture(t, func(t *testing.T, d departure, canCancel bool) {
+// A request must not be forwarded if its client disconnects while the request waits for a dial to an endpoint.
+func TestRequestIsNotForwardedAfterDisconnectDuringDial(t *testing.T) {
+	forEachDisconnect(t, func(t *testing.T, d disconnect, canCancel bool) {
 		const longMS = 120_000
 		server, gate := okServer(t), testkit.NewDialGate()
 		g, _ := startGatewayWith(t, func(cfg *config.Config, opts *options) {
-			slow(cfg, opts)
+			withLongDeadlines(cfg, opts)
 			cfg.Settings.Limits.Cancel, cfg.Settings.Limits.DialTimeoutMs = canCancel, longMS
 			opts.dial = gate.Dial
 		}, server)
 		client := g.dial()
 		client.WriteText(d.request)
 		testkit.WaitFor(t, "the dial", gate.Dialing)
-		d.leave(t, client)
+		d.perform(t, client)
 		testkit.WaitFor(t, "the end of the dial", gate.Cancelled)
 		gate.Open()
-		g.awaitLeaver()
+		g.awaitDisconnectedRequestEnd()
 		g.wantOnlyLookup(server)
 	})
 }
 
-// The same holds for one that is queued because no endpoint may take it, with and without bytes that follow it on its
-// connection: these would hide the disconnect from net/http.
-func TestClientGoneWhileQueuedIsNotForwarded(t *testing.T) {
-	forEachDeparture(t, func(t *testing.T, d departure, canCancel bool) {
-		for _, following := range []string{"", "G", slowRequest("lookup", "following") + "G"} {
+// A request must not be forwarded if its client disconnects while the request is queued because no endpoint is
+// available. Bytes after the request, which would hide the disconnect from net/http, must make no difference.
+func TestQueuedRequestIsNotForwardedAfterDisconnect(t *testing.T) {
+	forEachDisconnect(t, func(t *testing.T, d disconnect, canCancel bool) {
+		for _, following := range []string{"", "G", longDeadlineRequest("lookup", "following") + "G"} {
 			server := okServer(t)
 			g, registry := startGatewayWith(t, func(cfg *config.Config, opts *options) {
-				slow(cfg, opts)
+				withLongDeadlines(cfg, opts)
 				cfg.Settings.Limits.Cancel = canCancel
 			})
 			client := g.dial()
 			client.WriteText(d.request)
-			g.awaitOpen("leaver")
+			g.awaitOpen("disconnecting")
 			client.WriteText(following)
-			d.leave(t, client)
-			g.awaitLeaver()
+			d.perform(t, client)
+			g.awaitDisconnectedRequestEnd()
 			watch := testkit.Receive(t, "the watch", registry.Watches)
 			send(t, watch, testkit.EndpointListJSON(2, true, testkit.EndpointLine("s", server.Address(), "up", 0)))
 			g.wantOnlyLookup(server)
@@ -112,46 +114,47 @@
 	})
 }
 
-// Between two attempts: the first endpoint rejects the request once the client has gone.
-func TestClientGoneBetweenAttemptsIsNotForwarded(t *testing.T) {
+// A request must not be retried if its client disconnects during the first attempt. The first endpoint rejects the
+// request after the disconnect.
+func TestRequestIsNotRetriedAfterDisconnect(t *testing.T) {
 	for _, canCancel := range []bool{true, false} {
 		received, release := make(chan struct{}, 1), make(chan struct{})
-		script := func(conn net.Conn, request *http.Request) bool {
-			if request.Header.Get("Req-Id") == "leaver" {
+		reply := func(conn net.Conn, request *http.Request) bool {
+			if request.Header.Get("Req-Id") == "disconnecting" {
 				received <- struct{}{}
 				<-release
 				return testkit.Reply(testkit.ResponseRejected, false)(conn, request)
 			}
 			return testkit.Reply(testkit.ResponseOK, true)(conn, request)
 		}
-		one, two := testkit.NewServer(t, script), testkit.NewServer(t, script)
+		first, second := testkit.NewServer(t, reply), testkit.NewServer(t, reply)
 		g, _ := startGatewayWith(t, func(cfg *config.Config, opts *options) {
-			slow(cfg, opts)
+			withLongDeadlines(cfg, opts)
 			cfg.Settings.Limits.Cancel = canCancel
-		}, one, two)
+		}, first, second)
 		client := g.dial()
-		client.WriteText(slowRequest("lookup", "leaver"))
+		client.WriteText(longDeadlineRequest("lookup", "disconnecting"))
 		testkit.WaitFor(t, "the attempt", received)
 		closeClient(t, client)
 		g.awaitDisconnect()
 		close(release)
-		g.awaitLeaver()
+		g.awaitDisconnectedRequestEnd()
 		response := g.lookup(testkit.Plan)
-		if response.Status != http.StatusOK || one.Requests.Load()+two.Requests.Load() != 2 {
+		if response.Status != http.StatusOK || first.Requests.Load()+second.Requests.Load() != 2 {
 			t.Errorf("cancel %v: got %+v; %d and %d requests", canCancel, response,
-				one.Requests.Load(), two.Requests.Load())
+				first.Requests.Load(), second.Requests.Load())
 		}
 	}
 }
 
-// A client that has gone before the gateway accepts its connection: its request is complete but unread.
-func TestClientGoneBeforeReadIsNotForwarded(t *testing.T) {
+// A complete request must not be forwarded if its client has disconnected before the gateway accepts the connection.
+func TestUnreadRequestIsNotForwardedAfterDisconnect(t *testing.T) {
 	server := okServer(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	const clients = 100 // not every one is read so late that its request would be forwarded
+	const clients = 100 // without the check only some of the requests would be forwarded
 	for i := range clients {
 		client := testkit.Dial(t, listener.Addr().String())
 		client.WriteText(testkit.RequestHead(http.MethodGet, "lookup", fmt.Sprint("gone", i), "5"))
@@ -163,11 +166,12 @@
 	g.wantOnlyLookup(server)
 }
 
-// A client that has closed only its sending side gets no response that no endpoint made.
+// A client that has closed only its sending side still reads. It must not get an empty response of net/http, which it
+// would take for the response of an endpoint.
 func TestHalfClosedClientGetsNoResponse(t *testing.T) {
-	g, _ := startGatewayWith(t, slow)
+	g, _ := startGatewayWith(t, withLongDeadlines)
 	client := g.dial()
-	client.WriteText(slowRequest("lookup", "half"))
+	client.WriteText(longDeadlineRequest("lookup", "half"))
 	g.awaitOpen("half")
 	client.CloseWrite()
 	if response := client.ReadResponse(); response.Status != 0 {
--- a/internal/gateway/connections_test.go
+++ b/internal/gateway/connections_test.go
@@ -11,12 +11,13 @@
 	"springfield/internal/testkit"
 )
 
-// fewDescriptors leaves 5 connections for clients.
-func fewDescriptors(cfg *config.Config, _ *options) { cfg.Limits.Sockets = 10 }
+// withFewDescriptors sets a descriptor limit that leaves 5 connections for clients.
+func withFewDescriptors(cfg *config.Config, _ *options) { cfg.Limits.Sockets = 10 }
 
-// Past the clients' share of the descriptors idle connections are closed, and every new connection is answered.
+// When the client connections exceed their share of the descriptors, idle connections must be closed, and each new
+// connection must be served.
 func TestIdleConnectionsAreEvictedAtLimit(t *testing.T) {
-	g, _ := startGatewayWith(t, fewDescriptors, okServer(t))
+	g, _ := startGatewayWith(t, withFewDescriptors, okServer(t))
 	g.client.CloseIdleConnections()
 	const connections, evictions = 12, 5
 	var clients []*testkit.Client
@@ -41,9 +42,9 @@
 	}
 }
 
-// Connections that send nothing do not keep other clients waiting, also when they fill the limit.
+// Connections that send nothing must not block other clients, even if there are more of them than the limit allows.
 func TestSilentConnectionsAreEvictedAtLimit(t *testing.T) {
-	g, _ := startGatewayWith(t, fewDescriptors, okServer(t))
+	g, _ := startGatewayWith(t, withFewDescriptors, okServer(t))
 	for range 40 {
 		g.dial()
 	}
@@ -53,8 +54,9 @@
 	}
 }
 
-// A connection on which a request does not become complete ends in time, also without a byte.
-func TestIncompleteRequestIsEnded(t *testing.T) {
+// A connection must be closed after a timeout if its request does not become complete, even if no byte arrives at all.
+// A request with an incomplete body gets status 408.
+func TestConnectionWithIncompleteRequestIsClosed(t *testing.T) {
 	g, _ := startGateway(t)
 	for _, text := range []string{
 		"",
--- a/internal/gateway/drain_test.go
+++ b/internal/gateway/drain_test.go
@@ -13,7 +13,8 @@
 	"springfield/internal/testkit"
 )
 
-// In a planned restart what is in flight is answered, new connections are still served, and idle ones are closed.
+// A drain must answer requests in flight, serve new connections for some time, and close idle connections. Each
+// response must close its connection.
 func TestDrainAnswersOpenAndNewRequests(t *testing.T) {
 	received, release := make(chan struct{}, 10), make(chan struct{})
 	server := testkit.NewServer(t, func(conn net.Conn, request *http.Request) bool {
@@ -25,7 +26,7 @@
 		return err == nil
 	})
 	g, _ := startGatewayWith(t, func(_ *config.Config, opts *options) {
-		opts.drainDelay = 3 * time.Second // enough on a busy machine
+		opts.drainDelay = 3 * time.Second // long enough on a busy machine
 	}, server)
 	idle := g.dial()
 	idle.WriteText("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -57,21 +58,20 @@
 	}
 	close(release)
 	response := testkit.Receive(t, "the response in flight", inFlight)
-	// A response without Connection: close would invite another request, which might find nobody to answer it.
+	// After a response without Connection: close the client could send another request, which might get no response.
 	if response.Status != http.StatusOK || response.Body != "ok" || !response.Close {
 		t.Errorf("in flight: got %+v", response)
 	}
 	g.wantShutdown()
 }
 
-// The rest of this file: what waits for a connection, for its own last bytes or for an endpoint while the listener
-// closes is answered, as the last request on its connection, and only then does the gateway end.
-
-func slowWithShortDrainDelay(cfg *config.Config, opts *options) {
-	slow(cfg, opts)
+// withShortDrainDelay makes a drain close the listener at once and gives requests long deadlines.
+func withShortDrainDelay(cfg *config.Config, opts *options) {
+	withLongDeadlines(cfg, opts)
 	opts.drainDelay = time.Millisecond
 }
 
+// wantLastResponse checks that the client gets a response that closes its connection, and that the gateway ends then.
 func wantLastResponse(t *testing.T, g *testGateway, client *testkit.Client) {
 	t.Helper()
 	response := client.ReadResponse()
@@ -81,14 +81,15 @@
 	g.wantShutdown()
 }
 
-func TestDrainAnswersRequestThatWaitsForDial(t *testing.T) {
+// A request that waits for a dial to an endpoint when the listener closes must be answered before the gateway ends.
+func TestDrainAnswersRequestWaitingForDial(t *testing.T) {
 	gate := testkit.NewDialGate()
 	g, _ := startGatewayWith(t, func(cfg *config.Config, opts *options) {
-		slowWithShortDrainDelay(cfg, opts)
+		withShortDrainDelay(cfg, opts)
 		opts.dial = gate.Dial
 	}, okServer(t))
 	client := g.dial()
-	client.WriteText(slowRequest("lookup", "a"))
+	client.WriteText(longDeadlineRequest("lookup", "a"))
 	testkit.WaitFor(t, "the dial", gate.Dialing)
 	g.stop()
 	g.awaitListenerClosed()
@@ -96,11 +97,12 @@
 	wantLastResponse(t, g, client)
 }
 
-func TestDrainAnswersRequestThatIsPartlyRead(t *testing.T) {
-	for _, text := range []string{slowRequest("lookup", "a"), slowRequest("pay", "a")} {
+// A request that has been read only in part when the listener closes must be answered before the gateway ends.
+func TestDrainAnswersPartlyReadRequest(t *testing.T) {
+	for _, text := range []string{longDeadlineRequest("lookup", "a"), longDeadlineRequest("pay", "a")} {
 		for _, part := range []int{1, len(text) - 1} {
 			t.Run(fmt.Sprintf("%s, %d of %d bytes", text[:4], part, len(text)), func(t *testing.T) {
-				g, _ := startGatewayWith(t, slowWithShortDrainDelay, okServer(t))
+				g, _ := startGatewayWith(t, withShortDrainDelay, okServer(t))
 				client := g.dial()
 				client.WriteText(text[:part])
 				testkit.Eventually(t, "the first bytes", func() bool { return g.server.ActiveConnections() == 1 })
@@ -113,14 +115,15 @@
 	}
 }
 
+// A request that is queued for lack of endpoints when the listener closes must be answered before the gateway ends.
 func TestDrainAnswersQueuedRequest(t *testing.T) {
-	const objectiveMS = 16_000 // queued requests are tried again each 1 s
+	const objectiveMS = 16_000 // queued requests are retried every second
 	g, registry := startGatewayWith(t, func(cfg *config.Config, opts *options) {
-		slowWithShortDrainDelay(cfg, opts)
+		withShortDrainDelay(cfg, opts)
 		cfg.Settings.Classes[0].AimMs = objectiveMS
 	})
 	client := g.dial()
-	client.WriteText(slowRequest("lookup", "a"))
+	client.WriteText(longDeadlineRequest("lookup", "a"))
 	g.awaitOpen("a")
 	g.stop()
 	g.awaitListenerClosed()
--- a/internal/gateway/further_request_test.go
+++ b/internal/gateway/further_request_test.go
@@ -10,12 +10,11 @@
 	"springfield/internal/testkit"
 )
 
-// The tests of this file are about what a client sends behind a request on the same connection.
-
+// healthRequest is a health check, which the gateway answers itself.
 const healthRequest = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// answeredClient returns a connection on which one request has been answered.
-func answeredClient(t *testing.T, g *testGateway) *testkit.Client {
+// dialAfterHealthRequest returns a new connection on which a health check has been answered.
+func dialAfterHealthRequest(t *testing.T, g *testGateway) *testkit.Client {
 	t.Helper()
 	client := g.dial()
 	client.WriteText(healthRequest)
@@ -25,48 +24,48 @@
 	return client
 }
 
-// ended returns a channel that is closed when the gateway has closed the connection.
-func ended(client *testkit.Client) <-chan struct{} {
+// awaitClose returns a channel that is closed once the gateway has closed the connection.
+func awaitClose(client *testkit.Client) <-chan struct{} {
 	closed := make(chan struct{})
 	go func() {
-		_, _ = io.Copy(io.Discard, client.Reader) // a reset ends the connection as well
+		_, _ = io.Copy(io.Discard, client.Reader) // a reset closes the connection as well
 		close(closed)
 	}()
 	return closed
 }
 
-// partsOfFurtherRequests are what a client may have sent when it stops: too little for net/http to take it for the
-// begin of a request, and a part of a head.
-var partsOfFurtherRequests = []string{"G", "GET", "\r\n", "GET /health/ready HTTP/1.1\r\nHo"}
+// incompleteRequests are the bytes that a client has sent of a further request when it stalls: too few for net/http to
+// detect the start of a request, and a part of a head.
+var incompleteRequests = []string{"G", "GET", "\r\n", "GET /health/ready HTTP/1.1\r\nHo"}
 
-// A client that stops inside a further request is sent away as soon as one that stops inside its first. It once had the
-// time of an idle connection.
-func TestStalledFurtherRequestIsEndedBeforeIdleConnections(t *testing.T) {
+// A client that stalls inside a further request must be disconnected before the idle timeout, as if it stalled inside
+// its first request. net/http alone applies the idle timeout to the first three bytes of a further request.
+func TestStalledFurtherRequestIsClosedBeforeIdleTimeout(t *testing.T) {
 	g, _ := startGateway(t)
-	idle := ended(answeredClient(t, g))
-	for _, part := range partsOfFurtherRequests {
+	idle := awaitClose(dialAfterHealthRequest(t, g))
+	for _, part := range incompleteRequests {
 		t.Run(part, func(t *testing.T) {
 			t.Parallel()
-			client := answeredClient(t, g)
+			client := dialAfterHealthRequest(t, g)
 			client.WriteText(part)
 			select {
-			case <-ended(client):
+			case <-awaitClose(client):
 			case <-idle:
-				t.Error("it outlasts an idle connection")
+				t.Error("the connection outlasts an idle one")
 			}
 		})
 	}
 }
 
-// Nor does it hold up a shutdown for the time of an idle connection.
-func TestStalledFurtherRequestDoesNotHoldUpShutdown(t *testing.T) {
-	for _, part := range partsOfFurtherRequests {
+// A client that stalls inside a further request must not delay a shutdown until the idle timeout.
+func TestStalledFurtherRequestDoesNotDelayShutdown(t *testing.T) {
+	for _, part := range incompleteRequests {
 		t.Run(part, func(t *testing.T) {
 			t.Parallel()
 			reference, _ := startGateway(t)
-			idle := ended(answeredClient(t, reference))
-			g, _ := startGatewayWith(t, slowWithShortDrainDelay)
-			client := answeredClient(t, g)
+			idle := awaitClose(dialAfterHealthRequest(t, reference))
+			g, _ := startGatewayWith(t, withShortDrainDelay)
+			client := dialAfterHealthRequest(t, g)
 			client.WriteText(part)
 			testkit.Eventually(t, "the bytes", func() bool { return g.server.ActiveConnections() == 1 })
 			g.stop()
@@ -76,14 +75,15 @@
 					t.Error(err)
 				}
 			case <-idle:
-				t.Error("the shutdown takes longer than an idle connection lasts")
+				t.Error("the shutdown takes longer than the idle timeout")
 			}
 		})
 	}
 }
 
-// holdFirst returns a server that answers the request with id "first" once it is released, and others at once.
-func holdFirst(t *testing.T) (server *testkit.Server, received <-chan struct{}, release func()) {
+// startServerHoldingFirst starts a server that answers the request with id "first" after a call of release, and others
+// at once.
+func startServerHoldingFirst(t *testing.T) (server *testkit.Server, received <-chan struct{}, release func()) {
 	t.Helper()
 	requests, released := make(chan struct{}, 1), make(chan struct{})
 	server = testkit.NewServer(t, func(conn net.Conn, request *http.Request) bool {
@@ -96,21 +96,21 @@
 	return server, requests, func() { close(released) }
 }
 
-// Requests that a client has sent behind another one are answered in a drain, whole or finished only then: they were
-// accepted. Only the last response on a connection closes it.
+// A drain must answer pipelined requests whose first byte was sent before the drain, because they count as accepted.
+// Only the response to the last of them may close the connection.
 func TestDrainAnswersPipelinedRequests(t *testing.T) {
-	second, third := slowRequest("pay", "second"), slowRequest("lookup", "third")
+	second, third := longDeadlineRequest("pay", "second"), longDeadlineRequest("lookup", "third")
 	for _, test := range []struct{ name, together, later string }{
 		{"whole", second + third, ""},
 		{"in part", second + third[:len(third)/2], third[len(third)/2:]},
 		{"a byte", second + third[:1], third[1:]},
 		{"without the last byte of a body", third + second[:len(second)-1], second[len(second)-1:]},
 	} {
-		for _, first := range []string{slowRequest("lookup", "first"), slowRequest("pay", "first")} {
-			t.Run(test.name+" behind a "+first[:4], func(t *testing.T) {
+		for _, first := range []string{longDeadlineRequest("lookup", "first"), longDeadlineRequest("pay", "first")} {
+			t.Run(test.name+" after a "+first[:4], func(t *testing.T) {
 				t.Parallel()
-				server, received, release := holdFirst(t)
-				g, _ := startGatewayWith(t, slowWithShortDrainDelay, server)
+				server, received, release := startServerHoldingFirst(t)
+				g, _ := startGatewayWith(t, withShortDrainDelay, server)
 				client := g.dial()
 				client.WriteText(first + test.together)
 				testkit.WaitFor(t, "the attempt", received)
@@ -132,11 +132,12 @@
 	}
 }
 
-// A further request that comes byte by byte is answered.
-func TestFurtherRequestInPiecesIsAnswered(t *testing.T) {
+// A further request that arrives byte by byte must be answered. The time limits for its head must not close the
+// connection.
+func TestFurtherRequestSentByteByByteIsAnswered(t *testing.T) {
 	g, _ := startGateway(t, okServer(t))
-	client := answeredClient(t, g)
-	for _, char := range slowRequest("pay", "pieces") {
+	client := dialAfterHealthRequest(t, g)
+	for _, char := range longDeadlineRequest("pay", "pieces") {
 		client.WriteText(string(char))
 	}
 	if response := client.ReadResponse(); response.Status != http.StatusOK {
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -15,17 +15,17 @@
 	"springfield/internal/testkit"
 )
 
-// The tests of this package run a whole gateway over the loopback interface. Where something has to happen between two
-// steps of the gateway, hooks, channels or half-written bytes hold one side until the other has gone on; no test relies
-// on time that passes.
+// The tests of this package run a whole gateway over the loopback interface. To make something happen between two steps
+// of the gateway, they block one side with hooks, channels or partly sent requests. They do not rely on sleeping.
 
-// Paths of requests of the three classes of testkit.Settings.
+// Paths of requests of the three classes in testkit.Settings.
 const (
 	lookupPath = "/lookup" + testkit.CustomerPath
 	addPath    = "/add" + testkit.CustomerPath
 	payPath    = "/pay" + testkit.CustomerPath
 )
 
+// testSeed is the seed of the gateway under test.
 const testSeed = "8c1f30d27a5be964"
 
 // testGateway is a gateway under test.
@@ -33,45 +33,47 @@
 	t       testing.TB
 	address string
 	stop    context.CancelFunc // begins the graceful shutdown, as SIGTERM does
-	ended   chan error         // gets the result of run
+	ended   chan error         // receives the result of run
 	client  http.Client
 	server  *frontend.Server
 
-	disconnected chan struct{} // of the observedEngine
+	disconnected chan struct{} // see observedEngine
 }
 
-// observedEngine informs a test of the disconnects that the frontend reports to the event loop.
+// observedEngine notifies a test of the disconnects that the frontend reports to the event loop.
 type observedEngine struct {
 	frontend.Engine
-	disconnected chan struct{} // gets a value for each one that the loop has got
+	disconnected chan struct{} // receives a value after each call of DisconnectClient
 }
 
-// disconnectCapacity is more than any test causes.
+// disconnectCapacity is larger than the number of disconnects in any test, so that sends do not block.
 const disconnectCapacity = 100
 
+// DisconnectClient forwards the disconnect and then notifies the test.
 func (e *observedEngine) DisconnectClient(call *eventloop.Call) {
 	e.Engine.DisconnectClient(call)
 	e.disconnected <- struct{}{}
 }
 
+// testConfig returns a configuration with the given address of discovery.
 func testConfig(t testing.TB, discoveryAddress string) *config.Config {
 	t.Helper()
 	return &config.Config{Discovery: discoveryAddress, Seed: testSeed, Settings: testkit.Settings(t)}
 }
 
-// cachedList is an endpoint list for the configuration that holds one endpoint.
+// cachedList returns an endpoint list for the configuration that holds one endpoint.
 func cachedList(address string) discovery.EndpointList {
 	endpoint := discovery.Instance{ID: "s", Addr: address, State: "up", Weight: 1}
 	return discovery.EndpointList{Full: true, Servers: []discovery.Instance{endpoint}}
 }
 
-// startGateway runs a gateway whose discovery lists the servers from the start.
+// startGateway starts a gateway whose discovery lists the servers from the start, and waits until it is ready.
 func startGateway(t testing.TB, servers ...*testkit.Server) (*testGateway, *testkit.Registry) {
 	t.Helper()
 	return startGatewayWith(t, func(*config.Config, *options) {}, servers...)
 }
 
-// startGatewayWith is startGateway with a configuration and options of its own. The gateway is ready on return.
+// startGatewayWith is like startGateway, but change may modify the configuration and the options.
 func startGatewayWith(t testing.TB, change func(*config.Config, *options), servers ...*testkit.Server) (
 	*testGateway, *testkit.Registry) {
 	t.Helper()
@@ -98,7 +100,7 @@
 	return g, registry
 }
 
-// runGateway runs a gateway on the listener. It may become ready only later.
+// runGateway starts a gateway on the listener. It does not wait until the gateway is ready.
 func runGateway(t testing.TB, cfg *config.Config, listener net.Listener, opts options) *testGateway {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -117,7 +119,7 @@
 	opts.inspect = func(server *frontend.Server) { servers <- server }
 	go func() { g.ended <- run(ctx, cfg, listener, nil, opts) }()
 	g.server = testkit.Receive(t, "the server", servers)
-	t.Cleanup(func() { // before the servers' own, because a gateway that goes on would retry and log
+	t.Cleanup(func() { // runs before the cleanup of the servers, or the gateway would retry and log
 		stop()
 		g.client.CloseIdleConnections()
 	})
@@ -143,35 +145,35 @@
 	return testkit.Dial(g.t, g.address)
 }
 
-// awaitOpen waits until a request with the id is open.
+// awaitOpen waits until the request with the id is open.
 func (g *testGateway) awaitOpen(id string) {
 	g.t.Helper()
 	testkit.Eventually(g.t, "the request", func() bool { return g.server.RequestOpen(id) })
 }
 
-// awaitLeaver waits until the request "leaver" is not open any more.
-func (g *testGateway) awaitLeaver() {
+// awaitDisconnectedRequestEnd waits until the request with id "disconnecting" is not open any more.
+func (g *testGateway) awaitDisconnectedRequestEnd() {
 	g.t.Helper()
-	testkit.Eventually(g.t, "the end of the request", func() bool { return !g.server.RequestOpen("leaver") })
+	testkit.Eventually(g.t, "the end of the request", func() bool { return !g.server.RequestOpen("disconnecting") })
 }
 
-// awaitDisconnect waits until the event loop has handled another disconnect. It handles events in their order, so it
-// is done with that one when it rejects a request that has no time.
+// awaitDisconnect waits until the event loop has handled another disconnect. The event loop handles events in order, so
+// it has handled the disconnect when it rejects a later request, one without enough time.
 func (g *testGateway) awaitDisconnect() {
 	g.t.Helper()
 	testkit.WaitFor(g.t, "the client's disconnect", g.disconnected)
 	client := g.dial()
 	client.WriteText(testkit.RequestHead(http.MethodGet, "lookup", "after", "0.001"))
 	if response := client.ReadResponse(); response.Status != http.StatusServiceUnavailable {
-		g.t.Errorf("a request without time: %+v", response)
+		g.t.Errorf("a request without enough time: got %+v", response)
 	}
 }
 
-// wantShutdown waits until the gateway has ended without an error.
+// wantShutdown waits until the gateway has ended and checks that it returned no error.
 func (g *testGateway) wantShutdown() {
 	g.t.Helper()
 	if err := testkit.Receive(g.t, "the end of the gateway", g.ended); err != nil {
-		g.t.Errorf("it ended with %v", err)
+		g.t.Errorf("the gateway ended with %v", err)
 	}
 }
 
@@ -187,24 +189,24 @@
 	})
 }
 
-// wantOnlyLookup sends lookups until one is served, and fails if the server received any request besides that one.
+// wantOnlyLookup sends lookups until one is served, and checks that the server received no other request.
 func (g *testGateway) wantOnlyLookup(server *testkit.Server) {
 	g.t.Helper()
 	testkit.Eventually(g.t, "an answer of the server", func() bool {
 		return g.lookup(testkit.Plan).Status == http.StatusOK
 	})
 	if got := server.Requests.Load(); got != 1 {
-		g.t.Errorf("%d requests reached the server, want 1", got)
+		g.t.Errorf("the server received %d requests, want 1", got)
 	}
 }
 
-// okServer answers each request with testkit.ResponseOK and keeps its connections.
+// okServer starts a server that answers each request with testkit.ResponseOK and keeps its connections open.
 func okServer(t testing.TB) *testkit.Server {
 	t.Helper()
 	return testkit.NewServer(t, testkit.Reply(testkit.ResponseOK, true))
 }
 
-// send writes a line to a watch of the gateway.
+// send sends a line on a watch of the gateway.
 func send(t testing.TB, watch chan<- string, line string) {
 	t.Helper()
 	select {
@@ -214,12 +216,12 @@
 	}
 }
 
-// slow gives requests more time than any test waits.
-func slow(cfg *config.Config, _ *options) { testkit.SlowSettings(&cfg.Settings) }
+// withLongDeadlines gives requests longer deadlines than any test waits.
+func withLongDeadlines(cfg *config.Config, _ *options) { testkit.SlowSettings(&cfg.Settings) }
 
-// slowRequest is a request of the class as text, with more time than any test waits: the class lookup takes a GET and
-// the others a POST with a body of one byte.
-func slowRequest(class, id string) string {
+// longDeadlineRequest returns the text of a request of the class whose deadline is longer than any test waits. It is a
+// GET for the class lookup and a POST with a body of one byte for the others.
+func longDeadlineRequest(class, id string) string {
 	if class == "lookup" {
 		return testkit.RequestHead(http.MethodGet, class, id, "100")
 	}
--- a/internal/gateway/malformed_test.go
+++ b/internal/gateway/malformed_test.go
@@ -10,12 +10,12 @@
 	"springfield/internal/testkit"
 )
 
-// malformedRequest is a request that must be answered with an error before it is forwarded.
+// malformedRequest is a request that must be answered with an error status and not forwarded.
 type malformedRequest struct {
 	line    string
 	headers []string
 	body    string
-	want    string // the status
+	want    string // status of the response
 }
 
 const (
@@ -24,11 +24,11 @@
 	post10Line = "POST " + addPath + " HTTP/1.0"
 )
 
-// goodHeaders are the headers that a complete lookup needs.
+// goodHeaders are the headers of a valid lookup.
 var goodHeaders = []string{"Req-Id: a", "Plan: team", "Req-Deadline: 5", "Quota-Info: units=2,spread=1,first=0"}
 
-// with is goodHeaders without the one that begins with dropped, "" for none, and with more headers behind.
-func with(dropped string, more ...string) []string {
+// headersWith returns goodHeaders without those that begin with dropped, unless that is "", followed by more headers.
+func headersWith(dropped string, more ...string) []string {
 	var headers []string
 	for _, header := range goodHeaders {
 		if dropped == "" || !strings.HasPrefix(header, dropped) {
@@ -38,9 +38,9 @@
 	return append(headers, more...)
 }
 
-// withKey is goodHeaders with an idempotency key and more headers behind.
-func withKey(more ...string) []string {
-	return append(with("", "Idempotency-Key: k"), more...)
+// headersWithKey returns goodHeaders with an idempotency key, followed by more headers.
+func headersWithKey(more ...string) []string {
+	return append(headersWith("", "Idempotency-Key: k"), more...)
 }
 
 var malformedPaths = []malformedRequest{
@@ -59,54 +59,56 @@
 }
 
 var malformedHeaders = []malformedRequest{
-	{getLine, with("Req-Id"), "", "400"},
-	{getLine, with("", "Req-Id: b"), "", "400"},
-	{getLine, with("Plan"), "", "400"},
-	{getLine, with("Plan", "Plan: none"), "", "400"},
-	{getLine, with("", "Plan: team"), "", "400"},
-	{getLine, with("Req-Deadline"), "", "400"},
-	{getLine, with("Req-Deadline", "Req-Deadline: NaN"), "", "400"},
-	{getLine, with("Req-Deadline", "Req-Deadline: -1"), "", "400"},
-	{getLine, with("", "Req-Deadline: 5"), "", "400"},
-	{getLine, with("Req-Deadline", "Req-Deadline: Inf"), "", "400"},
-	{getLine, with("Req-Deadline", "Req-Deadline: 0x1p3"), "", "400"},
-	{getLine, with("Req-Deadline", "Req-Deadline: 1e3"), "", "400"},
-	{getLine, with("Req-Deadline", "Req-Deadline: +5"), "", "400"},
-	{getLine, with("Req-Deadline", "Req-Deadline: 1.2.3"), "", "400"},
-	{getLine, with("Req-Deadline", "Req-Deadline: 0"), "", "400"},
-	{getLine, with("", "X: "+strings.Repeat("x", 40<<10)), "", "431"},
+	{getLine, headersWith("Req-Id"), "", "400"},
+	{getLine, headersWith("", "Req-Id: b"), "", "400"},
+	{getLine, headersWith("Plan"), "", "400"},
+	{getLine, headersWith("Plan", "Plan: none"), "", "400"},
+	{getLine, headersWith("", "Plan: team"), "", "400"},
+	{getLine, headersWith("Req-Deadline"), "", "400"},
+	{getLine, headersWith("Req-Deadline", "Req-Deadline: NaN"), "", "400"},
+	{getLine, headersWith("Req-Deadline", "Req-Deadline: -1"), "", "400"},
+	{getLine, headersWith("", "Req-Deadline: 5"), "", "400"},
+	{getLine, headersWith("Req-Deadline", "Req-Deadline: Inf"), "", "400"},
+	{getLine, headersWith("Req-Deadline", "Req-Deadline: 0x1p3"), "", "400"},
+	{getLine, headersWith("Req-Deadline", "Req-Deadline: 1e3"), "", "400"},
+	{getLine, headersWith("Req-Deadline", "Req-Deadline: +5"), "", "400"},
+	{getLine, headersWith("Req-Deadline", "Req-Deadline: 1.2.3"), "", "400"},
+	{getLine, headersWith("Req-Deadline", "Req-Deadline: 0"), "", "400"},
+	{getLine, headersWith("", "X: "+strings.Repeat("x", 40<<10)), "", "431"},
 }
 
 var malformedQuotaInfo = []malformedRequest{
-	{getLine, with("Quota-Info"), "", "400"},
-	{getLine, with("Quota-Info", "Quota-Info: units=NaN,spread=1,first=0"), "", "400"},
-	{getLine, with("Quota-Info", "Quota-Info: units=1e300,spread=1,first=0"), "", "400"},
-	{getLine, with("Quota-Info", "Quota-Info: units=1,spread=0,first=0"), "", "400"},
-	{getLine, with("Quota-Info", "Quota-Info: units=1,spread=1,first=1"), "", "400"},
-	{getLine, with("Quota-Info", "Quota-Info: units=1,spread=1,first=-1"), "", "400"},
-	{getLine, with("Quota-Info", "Quota-Info: units=1,spread=1,first=0,units=2"), "", "400"},
-	{getLine, with("Quota-Info", "Quota-Info: units=1,spread=1,first=0,more=1"), "", "400"},
-	{getLine, with("Quota-Info", "Quota-Info: units=1,spread=1,first=0,"), "", "400"},
-	{getLine, with("Quota-Info", "Quota-Info: units=1,spread=1"), "", "400"},
-	{getLine, with("Quota-Info", "Quota-Info: units=1,spread=1.5,first=0"), "", "400"},
-	{getLine, with("", "Quota-Info: units=1,spread=1,first=0"), "", "400"},
+	{getLine, headersWith("Quota-Info"), "", "400"},
+	{getLine, headersWith("Quota-Info", "Quota-Info: units=NaN,spread=1,first=0"), "", "400"},
+	{getLine, headersWith("Quota-Info", "Quota-Info: units=1e300,spread=1,first=0"), "", "400"},
+	{getLine, headersWith("Quota-Info", "Quota-Info: units=1,spread=0,first=0"), "", "400"},
+	{getLine, headersWith("Quota-Info", "Quota-Info: units=1,spread=1,first=1"), "", "400"},
+	{getLine, headersWith("Quota-Info", "Quota-Info: units=1,spread=1,first=-1"), "", "400"},
+	{getLine, headersWith("Quota-Info", "Quota-Info: units=1,spread=1,first=0,units=2"), "", "400"},
+	{getLine, headersWith("Quota-Info", "Quota-Info: units=1,spread=1,first=0,more=1"), "", "400"},
+	{getLine, headersWith("Quota-Info", "Quota-Info: units=1,spread=1,first=0,"), "", "400"},
+	{getLine, headersWith("Quota-Info", "Quota-Info: units=1,spread=1"), "", "400"},
+	{getLine, headersWith("Quota-Info", "Quota-Info: units=1,spread=1.5,first=0"), "", "400"},
+	{getLine, headersWith("", "Quota-Info: units=1,spread=1,first=0"), "", "400"},
 }
 
 var malformedBodies = []malformedRequest{
-	{getLine, with("", "Content-Length: 1"), "x", "400"},
-	{postLine, with("", "Content-Length: 1"), "x", "400"}, // no idempotency key
-	{postLine, withKey("Content-Length: 65537"), "", "413"},
-	{postLine, withKey("Transfer-Encoding: chunked"), "10001\r\n" + strings.Repeat("x", 0x10001) + "\r\n0\r\n\r\n", "400"},
-	{postLine, withKey("Transfer-Encoding: chunked"), "1\r\nx\r\n0\r\n\r\n", "400"},
-	{postLine, withKey("Idempotency-Key: l", "Content-Length: 1"), "x", "400"},
-	{postLine, withKey("Content-Length: -1"), "x", "400"},
-	{postLine, withKey("Content-Length: 1", "Content-Length: 2"), "xx", "400"},
-	{postLine, withKey("Content-Length: 62914560"), strings.Repeat("x", 1<<20), "413"},
-	{post10Line, withKey("Transfer-Encoding: chunked", "Content-Length: 1"), "x", "400"},
-	{"GET /health/ready HTTP/1.1", with("", "Transfer-Encoding: chunked"), "0\r\n\r\n", "400"},
-	{postLine, withKey("Transfer-Encoding: chunked"), "what\r\n", "400"},
+	{getLine, headersWith("", "Content-Length: 1"), "x", "400"},
+	{postLine, headersWith("", "Content-Length: 1"), "x", "400"}, // no idempotency key
+	{postLine, headersWithKey("Content-Length: 65537"), "", "413"},
+	{postLine, headersWithKey("Transfer-Encoding: chunked"),
+		"10001\r\n" + strings.Repeat("x", 0x10001) + "\r\n0\r\n\r\n", "400"},
+	{postLine, headersWithKey("Transfer-Encoding: chunked"), "1\r\nx\r\n0\r\n\r\n", "400"},
+	{postLine, headersWithKey("Idempotency-Key: l", "Content-Length: 1"), "x", "400"},
+	{postLine, headersWithKey("Content-Length: -1"), "x", "400"},
+	{postLine, headersWithKey("Content-Length: 1", "Content-Length: 2"), "xx", "400"},
+	{postLine, headersWithKey("Content-Length: 62914560"), strings.Repeat("x", 1<<20), "413"},
+	{post10Line, headersWithKey("Transfer-Encoding: chunked", "Content-Length: 1"), "x", "400"},
+	{"GET /health/ready HTTP/1.1", headersWith("", "Transfer-Encoding: chunked"), "0\r\n\r\n", "400"},
+	{postLine, headersWithKey("Transfer-Encoding: chunked"), "what\r\n", "400"},
 }
 
+// A malformed request must get an error status and must not reach an endpoint, and the gateway must go on serving.
 func TestMalformedRequestIsNotForwarded(t *testing.T) {
 	server := okServer(t)
 	g, _ := startGateway(t, server)
@@ -126,7 +128,7 @@
 		t.Errorf("%d requests reached the server", server.Requests.Load())
 	}
 	if response := g.lookup(testkit.Plan); response.Status != http.StatusOK {
-		t.Errorf("a good request: got %+v", response)
+		t.Errorf("a valid request: got %+v", response)
 	}
 }
 
@@ -140,7 +142,7 @@
 	sent := make(chan struct{})
 	go func() {
 		defer close(sent)
-		_, _ = io.WriteString(client.Conn, text+"\r\n"+request.body) // the gateway may end it before it is complete
+		_, _ = io.WriteString(client.Conn, text+"\r\n"+request.body) // the gateway may close the connection before that
 	}()
 	status, err := client.Reader.ReadString('\n')
 	if fields := strings.Fields(status); err != nil || len(fields) < 2 || fields[1] != request.want {
@@ -152,15 +154,16 @@
 	<-sent
 }
 
-// A request with both a length and a transfer coding may hide another one in its body.
-func TestNoRequestIsSmuggledInBody(t *testing.T) {
+// A request with both a Content-Length and a Transfer-Encoding may hide another request in its body. It must get one
+// error response, and the hidden request must not be forwarded.
+func TestRequestSmuggledInBodyIsNotForwarded(t *testing.T) {
 	server := okServer(t)
 	g, _ := startGateway(t, server)
-	hidden := "GET " + lookupPath + " HTTP/1.1\r\nHost: x\r\nReq-Id: hidden\r\nPlan: team\r\n" +
+	smuggled := "GET " + lookupPath + " HTTP/1.1\r\nHost: x\r\nReq-Id: hidden\r\nPlan: team\r\n" +
 		"Req-Deadline: 5\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n"
 	for _, version := range []string{"1.0", "1.1"} {
 		client := g.dial()
-		body := "0\r\n\r\n" + hidden
+		body := "0\r\n\r\n" + smuggled
 		client.WriteText(fmt.Sprintf("POST %s HTTP/%s\r\nHost: x\r\nConnection: keep-alive\r\nReq-Id: outer\r\n"+
 			"Plan: team\r\nReq-Deadline: 5\r\nIdempotency-Key: k\r\nQuota-Info: units=1,spread=1,first=0\r\n"+
 			"Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s", addPath, version, len(body), body))
--- a/internal/gateway/retry_test.go
+++ b/internal/gateway/retry_test.go
@@ -17,9 +17,9 @@
 	"springfield/internal/upstream"
 )
 
-// A connection that breaks once the request is complete may have run it. Then an idempotent request, or one with an
-// idempotency key in the same zone, goes to another endpoint; one that is not idempotent fails and never runs twice.
-// A connection that is refused runs nothing, and every class goes to another endpoint.
+// If a connection is reset after a complete request, the request may have run. It must be retried on another endpoint
+// only if it is idempotent or has an idempotency key that is valid in the same zone; otherwise it must fail. If the
+// connection is refused, the request has not run, and it must be retried whatever its class.
 func TestResetIsRetriedOnlyIfIdempotent(t *testing.T) {
 	for _, class := range []string{"lookup", "add", "pay"} {
 		for _, complete := range []bool{true, false} {
@@ -32,7 +32,7 @@
 
 func testResetIsRetriedOnlyIfIdempotent(t *testing.T, class string, complete bool) {
 	resetting := testkit.NewServer(t, func(conn net.Conn, request *http.Request) bool {
-		_, _ = io.Copy(io.Discard, request.Body) // the gateway notices a failure as well
+		_, _ = io.Copy(io.Discard, request.Body) // the gateway detects a broken connection too
 		_ = conn.(*net.TCPConn).SetLinger(0)     // fails only if the connection has ended
 		return false
 	})
@@ -40,12 +40,12 @@
 		resetting.Stop()
 	}
 	good := okServer(t)
-	g, _ := startGatewayWith(t, slow, resetting, good)
+	g, _ := startGatewayWith(t, withLongDeadlines, resetting, good)
 	failed := 0
 	for i := range 6 {
 		before := resetting.Requests.Load() + good.Requests.Load()
 		client := g.dial()
-		client.WriteText(slowRequest(class, fmt.Sprint(i)))
+		client.WriteText(longDeadlineRequest(class, fmt.Sprint(i)))
 		response := client.ReadResponse()
 		runs := resetting.Requests.Load() + good.Requests.Load() - before
 		switch {
@@ -60,20 +60,20 @@
 		t.Error("the server that resets was never tried")
 	}
 	if want := int(resetting.Requests.Load()); class == "pay" && failed != want {
-		t.Errorf("%d failed, want %d", failed, want)
+		t.Errorf("%d requests failed, want %d", failed, want)
 	}
 }
 
-// A connection that breaks before the last byte of the request never ran it, so that every class goes to another
-// endpoint. Buffers far smaller than the request make sure that its last bytes are not out by then.
+// If a connection is reset before the last byte of the request is sent, the request has not run, and it must be retried
+// whatever its class. Socket buffers far smaller than the request ensure that its last bytes are not sent by then.
 func TestResetDuringSendIsRetried(t *testing.T) {
 	const bufferSize = 4 << 10
 	const requests = 6
-	cutting, cut := startCuttingServer(t, bufferSize)
+	resetting, resets := startResettingServer(t, bufferSize)
 	for _, class := range []string{"add", "pay"} {
-		good, before := okServer(t), cut.Load()
+		good, before := okServer(t), resets.Load()
 		g, _ := startGatewayWith(t, func(cfg *config.Config, opts *options) {
-			slow(cfg, opts)
+			withLongDeadlines(cfg, opts)
 			opts.dial = func(_ context.Context, network, address string) (net.Conn, error) {
 				conn, err := net.Dial(network, address)
 				if err != nil {
@@ -81,7 +81,7 @@
 				}
 				return conn, conn.(*net.TCPConn).SetWriteBuffer(bufferSize)
 			}
-		}, good, cutting)
+		}, good, resetting)
 		for i := range requests {
 			body := strings.Repeat("x", upstream.MaxBodyBytes)
 			request := g.request(http.MethodPost, "/"+class+testkit.CustomerPath, testkit.Plan, body, "100")
@@ -90,15 +90,15 @@
 				t.Errorf("%s: got %+v", class, response)
 			}
 		}
-		if good.Requests.Load() != requests || cut.Load() == before {
-			t.Errorf("%s: %d served, %d cut off", class, good.Requests.Load(), cut.Load()-before)
+		if good.Requests.Load() != requests || resets.Load() == before {
+			t.Errorf("%s: %d served, %d reset", class, good.Requests.Load(), resets.Load()-before)
 		}
 	}
 }
 
-// startCuttingServer starts a server with a small receive buffer that resets each connection within its first request.
-// It returns how many it has reset.
-func startCuttingServer(t *testing.T, bufferSize int) (*testkit.Server, *atomic.Int32) {
+// startResettingServer starts a server with a small receive buffer that resets each connection during its first
+// request. It also returns the number of reset connections.
+func startResettingServer(t *testing.T, bufferSize int) (*testkit.Server, *atomic.Int32) {
 	t.Helper()
 	config := net.ListenConfig{Control: func(_, _ string, conn syscall.RawConn) (err error) {
 		controlErr := conn.Control(func(fd uintptr) {
@@ -111,19 +111,19 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() }) // ends the goroutine
-	cut := new(atomic.Int32)
+	resets := new(atomic.Int32)
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			const partOfRequest = 100
-			_, _ = io.ReadFull(conn, make([]byte, partOfRequest)) // less will do if the gateway ends it
-			cut.Add(1)
+			const partBytes = 100
+			_, _ = io.ReadFull(conn, make([]byte, partBytes)) // fewer are fine if the gateway closes the connection
+			resets.Add(1)
 			_ = conn.(*net.TCPConn).SetLinger(0) // fails only if the connection has ended
 			_ = conn.Close()
 		}
 	}()
-	return &testkit.Server{Listener: listener}, cut
+	return &testkit.Server{Listener: listener}, resets
 }
--- a/internal/gateway/serve_test.go
+++ b/internal/gateway/serve_test.go
@@ -12,6 +12,7 @@
 	"springfield/internal/testkit"
 )
 
+// The path, the forwarded headers and the body of a request and of its response must pass the gateway unchanged.
 func TestRequestAndResponsePassUnchanged(t *testing.T) {
 	const path = "/add/eg%2Fcairo" + testkit.CustomerPath + "?q=%41&r"
 	received := make(chan string, 1)
@@ -34,7 +35,7 @@
 	}
 }
 
-// A rejection comes at once and says when to come back; the request never ran.
+// A request over the quota must be rejected at once, with the time after which to retry, and must not be forwarded.
 func TestOverQuotaRequestIsRejectedAtOnce(t *testing.T) {
 	server := okServer(t)
 	g, _ := startGateway(t, server)
@@ -46,16 +47,16 @@
 	if response.Status != http.StatusServiceUnavailable || response.Header.Get("Retry-After") != "1.000" {
 		t.Errorf("got %+v", response)
 	}
-	if took := time.Since(startedAt); took > 2*time.Second { // of 5 s
+	if took := time.Since(startedAt); took > 2*time.Second { // the deadline is 5 s
 		t.Errorf("the rejection took %v", took)
 	}
 	if server.Requests.Load() != 1 {
-		t.Errorf("%d requests ran", server.Requests.Load())
+		t.Errorf("the server received %d requests, want 1", server.Requests.Load())
 	}
 }
 
-// A request that may have run and is not idempotent fails: it is neither rejected, which would invite the client to
-// retry it, nor forwarded again.
+// A request that is not idempotent and may have run must fail. It must neither be rejected, which would invite the
+// client to retry it, nor be forwarded again.
 func TestNonIdempotentRequestIsNotRetriedAfterError(t *testing.T) {
 	server := testkit.NewServer(t, testkit.Reply("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", true))
 	g, _ := startGateway(t, server)
@@ -64,11 +65,11 @@
 		t.Errorf("got %+v", response)
 	}
 	if server.Requests.Load() != 1 {
-		t.Errorf("%d attempts", server.Requests.Load())
+		t.Errorf("%d attempts, want 1", server.Requests.Load())
 	}
 }
 
-// A request that an endpoint rejected never ran, so that any class of it goes to another endpoint.
+// A request that an endpoint has rejected has not run, so it must be retried on another endpoint whatever its class.
 func TestRejectedRequestIsRetriedElsewhere(t *testing.T) {
 	full := testkit.NewServer(t, testkit.Reply(testkit.ResponseRejected, true))
 	g, _ := startGateway(t, full, okServer(t))
@@ -80,19 +81,19 @@
 	}
 }
 
-// A request to an endpoint that has vanished is answered before its deadline.
+// A request to an endpoint that does not respond must be answered before the client's deadline.
 func TestSilentEndpointIsAnsweredBeforeDeadline(t *testing.T) {
 	server := testkit.NewServer(t, testkit.Silent)
 	g, _ := startGateway(t, server)
 	startedAt := time.Now()
 	response := g.do(g.request(http.MethodPost, payPath, testkit.Plan, "x", "1"))
-	if took := time.Since(startedAt); response.Status != http.StatusBadGateway || took > 4*time.Second { // the class: 8 s
+	if took := time.Since(startedAt); response.Status != http.StatusBadGateway || took > 4*time.Second { // of 8 s
 		t.Errorf("got %+v after %v", response, took)
 	}
 	testkit.WaitFor(t, "the closed connection", server.Closed)
 }
 
-// An endpoint would take a second request with the id of an open one for a copy of it.
+// A second request with the id of an open one must be rejected, because an endpoint would take it for a copy.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	received, release := make(chan struct{}, 2), make(chan struct{})
 	server := testkit.NewServer(t, func(conn net.Conn, _ *http.Request) bool {
@@ -106,18 +107,19 @@
 	go func() { first <- g.lookup(testkit.Plan) }()
 	testkit.WaitFor(t, "the attempt", received)
 	if response := g.lookup(testkit.Plan); response.Status != http.StatusConflict || !response.Close {
-		t.Errorf("the second: got %+v", response)
+		t.Errorf("the second request: got %+v", response)
 	}
 	close(release)
 	if response := testkit.Receive(t, "the first response", first); response.Status != http.StatusOK {
-		t.Errorf("the first: got %+v", response)
+		t.Errorf("the first request: got %+v", response)
 	}
 	if response := g.lookup(testkit.Plan); response.Status != http.StatusOK || server.Requests.Load() != 2 {
-		t.Errorf("once it is over: got %+v, %d requests", response, server.Requests.Load())
+		t.Errorf("after the first request: got %+v, %d requests", response, server.Requests.Load())
 	}
 }
 
-// HTTP/1.0 asks for no Host; such a request once used up its attempts without a byte sent.
+// HTTP/1.0 does not require a Host header. A request without one must be forwarded with a fallback Host, because
+// net/http cannot write a request without a Host, and all its attempts would fail.
 func TestRequestWithoutHostIsServed(t *testing.T) {
 	g, _ := startGateway(t, okServer(t))
 	client := g.dial()
@@ -128,7 +130,7 @@
 	}
 }
 
-// Requests that follow an open one on the same connection are answered after it, in their order.
+// Pipelined requests must be answered in order, even if they arrive in parts while the first one is open.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	received, release := make(chan struct{}, 10), make(chan struct{})
 	server := testkit.NewServer(t, func(conn net.Conn, request *http.Request) bool {
@@ -137,14 +139,14 @@
 		_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%s", request.Header.Get("Req-Id"))
 		return err == nil
 	})
-	g, _ := startGatewayWith(t, slow, server)
+	g, _ := startGatewayWith(t, withLongDeadlines, server)
 	client := g.dial()
-	client.WriteText(slowRequest("lookup", "1"))
+	client.WriteText(longDeadlineRequest("lookup", "1"))
 	testkit.WaitFor(t, "the attempt", received)
-	second := slowRequest("pay", "2")
-	client.WriteText(second[:1]) // ends net/http's own watch over the connection
+	second := longDeadlineRequest("pay", "2")
+	client.WriteText(second[:1]) // ends the disconnect detection of net/http
 	client.WriteText(second[1:40])
-	client.WriteText(second[40:] + slowRequest("lookup", "3"))
+	client.WriteText(second[40:] + longDeadlineRequest("lookup", "3"))
 	close(release)
 	for _, want := range []string{"1", "2", "3"} {
 		if response := client.ReadResponse(); response.Status != http.StatusOK || response.Body != want {
@@ -153,11 +155,12 @@
 	}
 }
 
-// Names, methods and order of classes and plans are those of the settings; those of another deployment mean nothing.
+// The names, methods and order of classes and plans must come from the settings. Names of other deployments must be
+// rejected.
 func TestClassesAndPlansComeFromSettings(t *testing.T) {
 	server := testkit.NewServer(t, func(conn net.Conn, request *http.Request) bool {
-		if request.Method == http.MethodPost { // it ends without an answer: it may have run
-			_, _ = io.Copy(io.Discard, request.Body) // the gateway notices a failure as well
+		if request.Method == http.MethodPost { // closes without a response, so the request may have run
+			_, _ = io.Copy(io.Discard, request.Body) // the gateway detects a broken connection too
 			return false
 		}
 		return testkit.Reply(testkit.ResponseOK, true)(conn, request)
@@ -195,7 +198,7 @@
 	}
 }
 
-// BenchmarkRequest is one request at a time, client and endpoint included.
+// BenchmarkRequest measures sequential requests, including the work of the client and the endpoint.
 func BenchmarkRequest(b *testing.B) {
 	g, _ := startGateway(b, okServer(b))
 	b.ReportAllocs()
