--- a/cmd/gateway/network_hooks_faultinjection.go
+++ b/cmd/gateway/network_hooks_faultinjection.go
@@ -13,5 +13,5 @@
 // file.
 func networkHooks() gateway.NetworkHooks {
 	injector := faultinjection.New(os.Getenv(faultinjection.ControlVariable))
-	return gateway.NetworkHooks{WrapListener: injector.Listener, Dial: injector.Dial}
+	return gateway.NetworkHooks{Listener: injector.Listener, Dial: injector.Dial}
 }
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -92,8 +92,8 @@
 		if l.limiter.excess() > 0 {
 			l.limiter.evict(time.Now())
 		}
-		excess, closing := l.limiter.excessWithClosing()
-		if excess <= l.limiter.reserve {
+		overLimit, closing := l.limiter.excessWithClosing()
+		if overLimit <= l.limiter.reserve {
 			return
 		}
 		if closing > 0 {
--- a/internal/gateway/further_request_test.go
+++ b/internal/gateway/further_request_test.go
@@ -24,8 +24,8 @@
 	return client
 }
 
-// awaitClose returns a channel that is closed once the gateway has closed the connection.
-func awaitClose(client *testkit.Client) <-chan struct{} {
+// ended returns a channel that is closed once the gateway has closed the connection.
+func ended(client *testkit.Client) <-chan struct{} {
 	closed := make(chan struct{})
 	go func() {
 		_, _ = io.Copy(io.Discard, client.Reader) // a reset closes the connection as well
@@ -42,14 +42,14 @@
 // its first request. net/http alone applies the idle timeout to the first three bytes of a further request.
 func TestStalledFurtherRequestIsClosedBeforeIdleTimeout(t *testing.T) {
 	g, _ := startGateway(t)
-	idle := awaitClose(dialAfterHealthRequest(t, g))
+	idle := ended(dialAfterHealthRequest(t, g))
 	for _, part := range incompleteRequests {
 		t.Run(part, func(t *testing.T) {
 			t.Parallel()
 			client := dialAfterHealthRequest(t, g)
 			client.WriteText(part)
 			select {
-			case <-awaitClose(client):
+			case <-ended(client):
 			case <-idle:
 				t.Error("the connection outlasts an idle one")
 			}
@@ -63,7 +63,7 @@
 		t.Run(part, func(t *testing.T) {
 			t.Parallel()
 			reference, _ := startGateway(t)
-			idle := awaitClose(dialAfterHealthRequest(t, reference))
+			idle := ended(dialAfterHealthRequest(t, reference))
 			g, _ := startGatewayWith(t, withShortDrainDelay)
 			client := dialAfterHealthRequest(t, g)
 			client.WriteText(part)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -29,8 +29,8 @@
 // NetworkHooks replace the calls of a gateway to the network. Soak tests inject faults through them. The zero value
 // replaces nothing.
 type NetworkHooks struct {
-	WrapListener func(net.Listener) (net.Listener, error) // wraps the listener for clients
-	Dial         upstream.Dialer                          // opens connections to endpoints
+	Listener func(net.Listener) (net.Listener, error) // wraps the listener for clients
+	Dial     upstream.Dialer                          // opens connections to endpoints
 }
 
 // options holds the parameters of a run that tests override. The zero value is used in production, except that
@@ -61,8 +61,8 @@
 	if err != nil {
 		return fmt.Errorf("listen for clients: %w", err)
 	}
-	if hooks.WrapListener != nil {
-		if listener, err = hooks.WrapListener(listener); err != nil {
+	if hooks.Listener != nil {
+		if listener, err = hooks.Listener(listener); err != nil {
 			return err
 		}
 	}
