--- a/internal/eventloop/actions.go
+++ b/internal/eventloop/actions.go
@@ -16,42 +16,43 @@
 
 var _ policy.Actions = actions{}
 
-// Forward starts an attempt, which is aborted at the given time or, if that is 0, at the call's deadline.
-func (a actions) Forward(id policy.RequestID, endpoint policy.EndpointID, until time.Duration) {
+// Forward starts an attempt, which is aborted at the given time or at the call's deadline, whichever is earlier. An
+// abortAt of 0 stands for the deadline.
+func (a actions) Forward(id policy.RequestID, endpoint policy.EndpointID, abortAt time.Duration) {
 	l := a.loop
 	c := l.calls[id]
 	if c == nil {
 		return
 	}
-	if until <= 0 || until > c.deadline {
-		until = c.deadline
+	if abortAt <= 0 || abortAt > c.deadline {
+		abortAt = c.deadline
 	}
 	target := l.endpoints[endpoint]
-	if allowed, reason := c.mayRepeat(l.now, &l.classes[c.request.Class]); !allowed {
+	if allowed, reason := c.attemptAllowed(l.now, &l.classes[c.request.Class]); !allowed {
 		invariant.Violated(invariant.Repeating, c.id, reason)
-		target = nil // the attempt is not sent
+		target = nil // an attempt without an endpoint is not sent
 	}
 	c.attempt = &attempt{
-		upstream: upstream.NewAttempt(target, l.clock.ToTime(until)),
+		upstream: upstream.NewAttempt(target, l.clock.ToTime(abortAt)),
 		endpoint: endpoint,
 		number:   c.attempts,
 		sentAt:   l.now,
 	}
 	c.attempts++
-	c.attempt.timeout = timer{due: until, attempt: c.attempt}
+	c.attempt.timeout = timer{dueAt: abortAt, attempt: c.attempt}
 	l.timers.add(&c.attempt.timeout)
 	c.commands <- Forward{Attempt: c.attempt.upstream}
 }
 
-// Reject ends a call: its client may safely retry.
+// Reject ends a call with a response that allows its client to retry safely.
 func (a actions) Reject(id policy.RequestID, retryAfter time.Duration) {
 	a.loop.endCall(id, Reject{RetryAfter: retryAfter}, counters.RequestRejected)
 }
 
-// Fail ends a call: its request may have run.
+// Fail ends a call whose request may have been executed.
 func (a actions) Fail(id policy.RequestID) { a.loop.endCall(id, Fail{}, counters.RequestFailed) }
 
-// CancelAttempt aborts an attempt. Its result follows once its connection is closed.
+// CancelAttempt aborts an attempt if it is the latest of its call. Its result follows once its connection is closed.
 func (a actions) CancelAttempt(id policy.RequestID, number int) {
 	c := a.loop.calls[id]
 	if c != nil && c.attempt != nil && c.attempt.number == number {
@@ -59,23 +60,23 @@
 	}
 }
 
-// StartTimer starts a timer of the engine.
+// StartTimer starts a timer for the engine.
 func (a actions) StartTimer(after time.Duration, t policy.Timer) {
-	a.loop.timers.add(&timer{due: a.loop.now + after, engine: t})
+	a.loop.timers.add(&timer{dueAt: a.loop.now + after, engineTimer: t})
 }
 
-// WatchEndpoints does nothing: discovery always watches the endpoint list.
+// WatchEndpoints does nothing, because the discovery client always watches the endpoint list.
 func (a actions) WatchEndpoints(bool) {}
 
-// logDecision logs at the debug level why the engine has ended a call.
+// logDecision logs at the debug level why the engine ended a call.
 func (l *Loop) logDecision(c *Call) {
 	if slog.Default().Enabled(context.Background(), slog.LevelDebug) {
 		slog.Debug("decided", "request", c.id, "reason", l.engine.LastReason().String())
 	}
 }
 
-// endCall gives a call its last command, unless it has got that already.
-func (l *Loop) endCall(id policy.RequestID, last Command, event counters.Event) {
+// endCall sends a call its last command, unless the call has already ended.
+func (l *Loop) endCall(id policy.RequestID, lastCommand Command, event counters.Event) {
 	c := l.calls[id]
 	if c == nil {
 		return
@@ -83,5 +84,5 @@
 	delete(l.calls, id)
 	counters.Count(event, c.id)
 	l.logDecision(c)
-	c.commands <- last
+	c.commands <- lastCommand
 }
--- a/internal/eventloop/endpoints.go
+++ b/internal/eventloop/endpoints.go
@@ -7,14 +7,14 @@
 	"springfield/policy"
 )
 
-// endpointUpdate is a change of the endpoint list.
+// endpointUpdate is a queued update of the endpoint list.
 type endpointUpdate struct {
 	discovery.Update
-	applied chan struct{} // closed once the engine has the update
+	applied chan struct{} // closed once the update has been applied
 }
 
 // PublishEndpoints queues an update of the endpoint list, which takes priority over all other events. The returned
-// channel is closed once the update is in effect. The error is that of ctx or ErrStopped.
+// channel is closed once the update has been applied. The error is ctx.Err() or ErrStopped.
 func (l *Loop) PublishEndpoints(ctx context.Context, update discovery.Update) (<-chan struct{}, error) {
 	applied := make(chan struct{})
 	select {
@@ -27,8 +27,8 @@
 	}
 }
 
-// updateEndpoints applies an update to the connections before the engine: from then on no attempt sends its first byte
-// to an endpoint that is not ready.
+// updateEndpoints applies an update to the connection pool before it informs the engine: from then on no attempt sends
+// its first byte to an endpoint that is not ready.
 func (l *Loop) updateEndpoints(update endpointUpdate) {
 	l.now = l.clock.Now()
 	list := make([]policy.Endpoint, len(update.Endpoints))
@@ -46,7 +46,7 @@
 func (l *Loop) updateEndpoint(listed discovery.Endpoint) {
 	endpoint := l.endpoints[listed.ID]
 	if endpoint != nil && (endpoint.Address() != listed.Address || endpoint.StartedAt() != listed.StartedAt) {
-		// Another process or machine has taken its place: attempts that are in flight get no response.
+		// Another process or machine has replaced this endpoint, so attempts in flight there get no response.
 		endpoint.CloseReplaced()
 		endpoint = nil
 	}
@@ -64,7 +64,7 @@
 	endpoint.SetReady(listed.State == policy.StateReady)
 }
 
-// closeUnlisted closes the endpoints that a full list leaves out.
+// closeUnlisted closes the endpoints that a complete list leaves out.
 func (l *Loop) closeUnlisted(list []policy.Endpoint) {
 	listed := make(map[policy.EndpointID]bool, len(list))
 	for _, endpoint := range list {
--- a/internal/eventloop/events.go
+++ b/internal/eventloop/events.go
@@ -9,15 +9,15 @@
 	"springfield/policy"
 )
 
-// event is one input of the event loop. All implementations are shaped like a pointer, so that converting them to the
-// interface allocates nothing.
+// event is one input of the event loop. Every implementation is pointer-shaped, so that converting it to the interface
+// allocates nothing.
 type event interface {
-	// apply handles the event on the goroutine of the event loop.
+	// apply handles the event. It runs on the event loop's goroutine.
 	apply(l *Loop)
 }
 
-// Submit passes a new call to the engine, whose commands follow on the call's channel. Once the event loop has stopped
-// it rejects the call.
+// Submit passes a new call to the engine. The engine's commands follow on the call's channel. If the event loop has
+// stopped, the call is rejected.
 func (l *Loop) Submit(c *Call) {
 	if !l.post(callSubmitted{c}) {
 		invariant.Violated(invariant.Starting, c.id, "the event loop has stopped")
@@ -25,18 +25,18 @@
 	}
 }
 
-// FinishAttempt reports the result of the attempt that the last Forward command of the call started. If its status is
-// policy.StatusOK the call is over and no more commands follow.
+// FinishAttempt reports the result of the attempt that the call's latest Forward command started. If the status is
+// policy.StatusOK, the call has ended and no more commands follow.
 func (l *Loop) FinishAttempt(c *Call, result upstream.Result) {
 	c.outcome = attemptOutcome{status: result.Status, hasUsage: result.HasUsage, usage: result.Usage}
 	l.post(attemptFinished{c})
 }
 
-// DisconnectClient reports that the client of the call has closed its connection.
+// DisconnectClient reports that the call's client has closed its connection.
 func (l *Loop) DisconnectClient(c *Call) { l.post(clientDisconnected{c}) }
 
-// BeginShutdown sets a time by which every call is answered, those that come later included.
-func (l *Loop) BeginShutdown(answerBy time.Duration) { l.post(&shutdownBegun{answerBy}) }
+// BeginShutdown sets a deadline for all calls, including those that are submitted later.
+func (l *Loop) BeginShutdown(deadline time.Duration) { l.post(&shutdownBegun{deadline}) }
 
 // post queues an event. It drops the event and reports false once the event loop has stopped.
 func (l *Loop) post(e event) bool {
@@ -48,8 +48,8 @@
 	}
 }
 
-// attemptEvents are the counts of attempts by how they ended.
-var attemptEvents = [...]counters.Event{
+// attemptEventByStatus maps the status of an attempt to the event under which the attempt is counted.
+var attemptEventByStatus = [...]counters.Event{
 	policy.StatusOK:            counters.AttemptOK,
 	policy.StatusServerError:   counters.AttemptServerError,
 	policy.StatusRejected:      counters.AttemptRejected,
@@ -61,7 +61,8 @@
 	policy.StatusLocalFailure:  counters.AttemptLocalFailure,
 }
 
-// mayHaveRun reports whether an attempt that ended so, without the response to pass on, may have been executed.
+// mayHaveRun reports whether an attempt with this status may have been executed without delivering a response that can
+// be passed on.
 func mayHaveRun(status policy.Status) bool {
 	return status == policy.StatusServerError || status == policy.StatusTimedOut || status == policy.StatusReset ||
 		status == policy.StatusCancelled
@@ -72,15 +73,15 @@
 func (e callSubmitted) apply(l *Loop) {
 	c := e.call
 	c.request.ID = l.newRequestID()
-	if l.answerBy > 0 {
-		c.deadline = min(c.deadline, l.answerBy)
+	if l.shutdownDeadline > 0 {
+		c.deadline = min(c.deadline, l.shutdownDeadline)
 	}
 	c.request.TimeLeft = c.deadline - l.now
 	l.calls[c.request.ID] = c
 	l.engine.Submit(l.now, c.request)
 }
 
-// newRequestID returns the next id that no open call has. It is never 0.
+// newRequestID returns the next ID that no open call uses. It is never 0.
 func (l *Loop) newRequestID() policy.RequestID {
 	for {
 		l.lastRequestID++
@@ -95,9 +96,9 @@
 func (e attemptFinished) apply(l *Loop) {
 	c, id := e.call, e.call.request.ID
 	c.attempt.finished = true
-	counters.Count(attemptEvents[c.outcome.status], c.id)
+	counters.Count(attemptEventByStatus[c.outcome.status], c.id)
 	if !c.mayHaveRun && mayHaveRun(c.outcome.status) {
-		c.mayHaveRun, c.ranSince = true, c.attempt.sentAt
+		c.mayHaveRun, c.mayHaveRunSince = true, c.attempt.sentAt
 	}
 	open := l.calls[id] == c
 	succeeded := c.outcome.status == policy.StatusOK
@@ -126,21 +127,22 @@
 	}
 	l.engine.ClientDisconnected(l.now, id)
 	if c.attempt != nil {
-		// Even where the settings allow no cancellation: no endpoint has received any of it.
+		// An attempt that has not been sent is aborted even if the settings forbid cancellation, because no endpoint has
+		// received any part of it.
 		c.attempt.upstream.AbortUnsent()
 	}
 	l.endCall(id, Abandon{}, counters.RequestAbandoned)
 }
 
-type shutdownBegun struct{ answerBy time.Duration }
+type shutdownBegun struct{ deadline time.Duration }
 
 func (e *shutdownBegun) apply(l *Loop) {
-	l.answerBy = e.answerBy
-	l.engine.BeginShutdown(l.now, e.answerBy)
+	l.shutdownDeadline = e.deadline
+	l.engine.BeginShutdown(l.now, e.deadline)
 	for _, c := range l.calls {
-		c.deadline = min(c.deadline, e.answerBy)
+		c.deadline = min(c.deadline, e.deadline)
 		if c.attempt != nil && !c.attempt.finished {
-			l.timers.add(&timer{due: c.deadline, attempt: c.attempt})
+			l.timers.add(&timer{dueAt: c.deadline, attempt: c.attempt})
 		}
 	}
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -12,7 +12,7 @@
 	"springfield/policy"
 )
 
-// ErrStopped is returned for an event that comes after the event loop has stopped.
+// ErrStopped is returned for an update that is published after the event loop has stopped.
 var ErrStopped = errors.New("the event loop has stopped")
 
 const (
@@ -25,18 +25,18 @@
 	clock   clock.Clock
 	pool    *upstream.Pool
 	events  chan event
-	updates chan endpointUpdate // take priority over events
+	updates chan endpointUpdate // handled before events
 	stopped chan struct{}       // closed when Run returns
 
-	// The goroutine of Run owns the fields below.
-	engine        *policy.Engine
-	classes       []policy.Class
-	calls         map[policy.RequestID]*Call // open calls
-	lastRequestID policy.RequestID
-	endpoints     map[policy.EndpointID]*upstream.Endpoint
-	timers        timerQueue
-	now           time.Duration // when the present event was received
-	answerBy      time.Duration // every call is answered by then; 0: no shutdown has begun
+	// The goroutine that calls Run owns the fields below.
+	engine           *policy.Engine
+	classes          []policy.Class
+	calls            map[policy.RequestID]*Call // open calls
+	lastRequestID    policy.RequestID
+	endpoints        map[policy.EndpointID]*upstream.Endpoint
+	timers           timerQueue
+	now              time.Duration // when the current event was received
+	shutdownDeadline time.Duration // time by which every call must end; 0 if no shutdown has begun
 }
 
 // New returns an event loop that creates its endpoints in the pool. Run starts it.
@@ -55,8 +55,8 @@
 	return l
 }
 
-// Decisions returns, as attributes of a log line, how often the engine has had each reason. It is called once Run has
-// returned.
+// Decisions returns how often the engine has decided for each reason, as attributes of a log line. It blocks until Run
+// has returned.
 func (l *Loop) Decisions() []any {
 	<-l.stopped
 	var attributes []any
@@ -71,13 +71,13 @@
 	defer close(l.stopped)
 	l.now = l.clock.Now()
 	l.engine.Start(l.now)
-	wake := time.NewTimer(time.Hour)
-	defer wake.Stop()
-	var wakeAt time.Duration // when wake is due; 0: it is not set for any timer
+	wakeTimer := time.NewTimer(time.Hour)
+	defer wakeTimer.Stop()
+	var wakeAt time.Duration // when wakeTimer is due; 0 if it is not set for a queued timer
 	for {
 		if due, ok := l.nextTimer(); ok && due != wakeAt {
 			wakeAt = due
-			wake.Reset(wakeAt - l.clock.Now())
+			wakeTimer.Reset(wakeAt - l.clock.Now())
 		}
 		select {
 		case update := <-l.updates:
@@ -93,7 +93,7 @@
 		case e := <-l.events:
 			l.now = l.clock.Now()
 			e.apply(l)
-		case <-wake.C:
+		case <-wakeTimer.C:
 			wakeAt = 0
 			l.fireTimers(l.clock.Now())
 		}
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -13,8 +13,8 @@
 	"springfield/policy"
 )
 
-// Neither updates nor events may block their senders for ever once nobody handles them.
-func TestStoppedLoopBlocksNobody(t *testing.T) {
+// After the loop has stopped nothing drains its full queues. Senders of updates and events must not block forever.
+func TestStoppedLoopDoesNotBlockSenders(t *testing.T) {
 	loop := New(clock.New(), policy.Config{}, upstream.NewPool(upstream.Options{}))
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
@@ -30,13 +30,13 @@
 		defer close(done)
 		loop.BeginShutdown(0)
 		if _, err := loop.PublishEndpoints(t.Context(), discovery.Update{}); !errors.Is(err, ErrStopped) {
-			t.Errorf("got %v, want %v", err, ErrStopped)
+			t.Errorf("got error %v, want %v", err, ErrStopped)
 		}
 	}()
 	testkit.WaitFor(t, "the senders", done)
 }
 
-func TestPublishEndpointsEndsWithItsContext(t *testing.T) {
+func TestPublishEndpointsReturnsWhenContextIsCancelled(t *testing.T) {
 	loop := New(clock.New(), policy.Config{}, upstream.NewPool(upstream.Options{}))
 	for range cap(loop.updates) {
 		loop.updates <- endpointUpdate{}
@@ -44,13 +44,13 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := loop.PublishEndpoints(ctx, discovery.Update{}); !errors.Is(err, context.Canceled) {
-		t.Errorf("got %v, want %v", err, context.Canceled)
+		t.Errorf("got error %v, want %v", err, context.Canceled)
 	}
 }
 
-// The result of an attempt names its number and its endpoint: the engine retries only after the result of the attempt
-// that it has in flight, and ejects the endpoint that the result names.
-func TestResultNamesItsAttemptAndEndpoint(t *testing.T) {
+// The loop must report the number and the endpoint of an attempt with its result: the engine retries only after the
+// result of its current attempt, and ejects the endpoint that the result names.
+func TestAttemptResultCarriesItsNumberAndEndpoint(t *testing.T) {
 	loop := newTestLoop(t, nil)
 	update := discovery.Update{Kind: policy.UpdateFull}
 	for id := policy.EndpointID(11); id <= 13; id++ {
@@ -64,16 +64,16 @@
 	}
 	loop.updateEndpoints(<-loop.updates)
 
-	retried := submitAt(loop, loop.now)
-	rejecting := retried.attempt.endpoint
+	retriedCall := submitAt(loop, loop.now)
+	rejectingEndpoint := retriedCall.attempt.endpoint
 	for number := range 2 {
-		if _, ok := (<-retried.Commands()).(Forward); !ok || retried.attempt.number != number {
-			t.Fatalf("attempt %d was not forwarded: %+v", number, retried.attempt)
+		if _, ok := (<-retriedCall.Commands()).(Forward); !ok || retriedCall.attempt.number != number {
+			t.Fatalf("attempt %d was not forwarded: %+v", number, retriedCall.attempt)
 		}
-		loop.FinishAttempt(retried, upstream.Result{Status: policy.StatusRejected})
+		loop.FinishAttempt(retriedCall, upstream.Result{Status: policy.StatusRejected})
 		loop.handleEvent(loop.now + time.Millisecond)
-		if len(retried.Commands()) != 1 {
-			t.Fatalf("no command follows the result of attempt %d", number)
+		if len(retriedCall.Commands()) != 1 {
+			t.Fatalf("attempt %d: no command after the result", number)
 		}
 	}
 	for customer := range 6 {
@@ -81,8 +81,8 @@
 			loop.now+time.Second)
 		loop.Submit(call)
 		loop.handleEvent(loop.now)
-		if call.attempt == nil || call.attempt.endpoint == rejecting {
-			t.Errorf("endpoint %d has rejected a request and gets another one: %+v", rejecting, call.attempt)
+		if call.attempt == nil || call.attempt.endpoint == rejectingEndpoint {
+			t.Errorf("endpoint %d rejected a request but got another, or none was sent: %+v", rejectingEndpoint, call.attempt)
 		}
 	}
 }
--- a/internal/eventloop/shutdown_test.go
+++ b/internal/eventloop/shutdown_test.go
@@ -17,23 +17,24 @@
 )
 
 const (
-	payClass   = 2 // of testkit.Settings: not idempotent
+	payClass   = 2 // index of a class of testkit.Settings that is not idempotent
 	endpointID = 1
 )
 
-// heldDials returns a dialer whose dials end only when they are cancelled, and the channel on which it shows their
-// contexts.
-func heldDials() (upstream.Dialer, <-chan context.Context) {
-	dials := make(chan context.Context, 1)
+// newBlockingDialer returns a dialer whose dials end only when they are cancelled, and a channel that receives the
+// context of each dial.
+func newBlockingDialer() (upstream.Dialer, <-chan context.Context) {
+	dialContexts := make(chan context.Context, 1)
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
-		dials <- ctx
+		dialContexts <- ctx
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return dial, dials
+	return dial, dialContexts
 }
 
-// newTestLoop returns a loop with one ready endpoint. Run is not called: the test handles the events one by one.
+// newTestLoop returns a loop with one ready endpoint. Run is not called, so that the test handles the events one by
+// one.
 func newTestLoop(t *testing.T, dial upstream.Dialer) *Loop {
 	t.Helper()
 	cfg := config.Config{Settings: testkit.Settings(t)}
@@ -62,7 +63,7 @@
 	(<-l.events).apply(l)
 }
 
-// submitAt submits a call that may not be repeated once it may have run.
+// submitAt submits a call that must not be repeated once it may have been executed.
 func submitAt(loop *Loop, at time.Duration) *Call {
 	call := NewCall("a", policy.Request{Class: payClass, Units: 1, SetSize: 1}, at+8*time.Second)
 	loop.Submit(call)
@@ -70,10 +71,10 @@
 	return call
 }
 
-// Requirement 1 at SIGTERM: the process may be killed long before the longest deadline, so a request that is in flight
-// then gets its response before, and so does one that comes late on a connection that is still open.
-func TestShutdownAnswersEveryCallInTime(t *testing.T) {
-	dial, dials := heldDials()
+// After SIGTERM the process may be killed long before the latest deadline of its calls. Calls in flight, and calls that
+// arrive later on open connections, must get their responses by the deadline of the shutdown.
+func TestShutdownEndsEveryCallByItsDeadline(t *testing.T) {
+	dial, dialContexts := newBlockingDialer()
 	loop := newTestLoop(t, dial)
 	start := loop.now
 	call := submitAt(loop, start)
@@ -86,29 +87,29 @@
 		request := &http.Request{Method: http.MethodGet, URL: &url.URL{Path: "/"}, Host: "x", Header: http.Header{}}
 		results <- forward.Attempt.Do(request)
 	}()
-	attempt := testkit.Receive(t, "the dial", dials)
+	dialContext := testkit.Receive(t, "the dial", dialContexts)
 
 	loop.BeginShutdown(start + time.Second)
 	loop.handleEvent(start)
 	loop.fireTimers(start + time.Second/2)
-	if attempt.Err() != nil {
-		t.Error("the attempt was aborted before its time")
+	if dialContext.Err() != nil {
+		t.Error("the attempt was aborted before the deadline of the shutdown")
 	}
-	late := start + 3*time.Second/2
-	loop.fireTimers(late)
-	if attempt.Err() == nil {
-		t.Fatal("the attempt was not aborted")
+	afterDeadline := start + 3*time.Second/2
+	loop.fireTimers(afterDeadline)
+	if dialContext.Err() == nil {
+		t.Fatal("the attempt was not aborted at the deadline of the shutdown")
 	}
 	if result := testkit.Receive(t, "the result", results); result.Status != policy.StatusNotSent {
-		t.Errorf("the aborted dial ended with %+v", result)
+		t.Errorf("the aborted dial ended with %+v, want StatusNotSent", result)
 	}
 	loop.FinishAttempt(call, upstream.Result{Status: policy.StatusTimedOut})
-	loop.handleEvent(late)
+	loop.handleEvent(afterDeadline)
 	if command := testkit.Receive(t, "the last command", call.Commands()); command != (Fail{}) {
-		t.Errorf("the call in flight got %#v", command)
+		t.Errorf("the call in flight got %#v, want Fail", command)
 	}
-	lateCall := submitAt(loop, late)
+	lateCall := submitAt(loop, afterDeadline)
 	if command, ok := testkit.Receive(t, "a command", lateCall.Commands()).(Reject); !ok {
-		t.Errorf("the late call got %#v", command)
+		t.Errorf("the late call got %#v, want Reject", command)
 	}
 }
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -7,20 +7,20 @@
 	"springfield/policy"
 )
 
-// timer is a timer of the engine or the time-out of an attempt. The event loop aborts attempts itself because a
+// timer is a timer of the engine or the timeout of an attempt. The event loop times out attempts itself, because a
 // deadline on each connection would wake the process up far more often.
 type timer struct {
-	due     time.Duration
-	attempt *attempt     // aborted when the timer is due; nil: the timer is the engine's
-	engine  policy.Timer // what the engine calls the timer
+	dueAt       time.Duration
+	attempt     *attempt     // attempt to abort when the timer is due; nil for a timer of the engine
+	engineTimer policy.Timer // the engine's value for the timer; used only if attempt is nil
 }
 
-// nextTimer returns when the next timer that is still needed is due. Most attempts finish before their time-out;
-// discarding their timers saves the event loop a good part of its wake-ups.
+// nextTimer returns when the next pending timer is due. It discards timers that are no longer pending: most attempts
+// finish before their timeout, and discarding their timers avoids many wake-ups of the event loop.
 func (l *Loop) nextTimer() (due time.Duration, ok bool) {
 	for len(l.timers) > 0 {
-		if l.needed(l.timers[0]) {
-			return l.timers[0].due, true
+		if l.isPending(l.timers[0]) {
+			return l.timers[0].dueAt, true
 		}
 		l.timers.removeFirst()
 	}
@@ -30,27 +30,27 @@
 // fireTimers fires the timers that are due.
 func (l *Loop) fireTimers(now time.Duration) {
 	l.now = now
-	for len(l.timers) > 0 && l.timers[0].due <= l.now {
+	for len(l.timers) > 0 && l.timers[0].dueAt <= l.now {
 		t := l.timers.removeFirst()
 		switch {
-		case !l.needed(t):
+		case !l.isPending(t):
 		case t.attempt != nil:
 			t.attempt.upstream.Abort(policy.StatusTimedOut)
 		default:
-			l.engine.TimerFired(l.now, t.engine)
+			l.engine.TimerFired(l.now, t.engineTimer)
 		}
 	}
 }
 
-// needed reports whether firing the timer would still have an effect.
-func (l *Loop) needed(t *timer) bool {
+// isPending reports whether firing the timer would still have an effect.
+func (l *Loop) isPending(t *timer) bool {
 	if t.attempt != nil {
 		return !t.attempt.finished
 	}
-	return l.engine.TimerPending(t.engine)
+	return l.engine.TimerPending(t.engineTimer)
 }
 
-// timerQueue holds timers by when they are due. It implements heap.Interface.
+// timerQueue is a heap of timers ordered by when they are due. It implements heap.Interface.
 type timerQueue []*timer
 
 // add inserts a timer.
@@ -63,19 +63,19 @@
 func (q timerQueue) Len() int { return len(q) }
 
 // Less reports whether timer i is due before timer j.
-func (q timerQueue) Less(i, j int) bool { return q[i].due < q[j].due }
+func (q timerQueue) Less(i, j int) bool { return q[i].dueAt < q[j].dueAt }
 
 // Swap exchanges two timers.
 func (q timerQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push appends a timer; only package heap calls it.
+// Push appends a timer. Only package heap calls it.
 func (q *timerQueue) Push(x any) { *q = append(*q, x.(*timer)) }
 
-// Pop removes the last timer; only package heap calls it.
+// Pop removes and returns the last timer. Only package heap calls it.
 func (q *timerQueue) Pop() any {
 	last := len(*q) - 1
 	t := (*q)[last]
-	(*q)[last] = nil // lets the timer be freed
+	(*q)[last] = nil // allows the timer to be garbage-collected
 	*q = (*q)[:last]
 	return t
 }
