--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -13,35 +13,35 @@
 	"springfield/policy"
 )
 
-// Attempt is one attempt of a request at an endpoint. Its reads and writes have no deadlines of their own:
-// its owner calls Abort when its time is up.
+// Attempt is one attempt to execute a request at an endpoint. Its reads and writes have no deadlines of their own; its
+// owner calls Abort when its time is up.
 type Attempt struct {
 	endpoint *Endpoint
 	deadline time.Time
 
 	mu          sync.Mutex
-	conn        net.Conn           // not nil while the request is out on it
-	cancelDial  context.CancelFunc // not nil while a connection is being dialed
+	conn        net.Conn           // set while the request is in flight on it
+	cancelDial  context.CancelFunc // set while a connection is being dialed
 	aborted     bool
 	abortStatus policy.Status
 }
 
-// Result tells how an attempt ended.
+// Result describes how an attempt ended.
 type Result struct {
 	Status   policy.Status
-	HasUsage bool     // Usage is set
-	Usage    float64  // the customer's usage as a share of its quota
-	Response Response // set if a complete response came
+	HasUsage bool     // Usage is valid
+	Usage    float64  // customer's usage as a fraction of its quota
+	Response Response // set if a complete response was received
 }
 
-// NewAttempt returns an attempt that is to be carried out with Do. The endpoint is nil if it has left the
-// list; the attempt is not sent then. Neither is an attempt whose first byte would be sent after the deadline.
+// NewAttempt returns an attempt that is carried out with Do. The endpoint is nil if it has left the list; such an
+// attempt is not sent. Neither is an attempt whose first byte would be sent after the deadline.
 func NewAttempt(endpoint *Endpoint, deadline time.Time) *Attempt {
 	return &Attempt{endpoint: endpoint, deadline: deadline}
 }
 
-// Abort ends the attempt: it is cancelled, timed out, or its endpoint was replaced. Do closes the connection
-// and only then returns a result with the given status, so that two attempts of a request are never out at
+// Abort ends the attempt because it is cancelled, it has timed out, or its endpoint was replaced. Do closes the
+// connection before it returns a result with the given status, so that two attempts of a request are never in flight at
 // once.
 func (a *Attempt) Abort(status policy.Status) {
 	a.mu.Lock()
@@ -49,7 +49,7 @@
 	a.abortLocked(status)
 }
 
-// AbortUnsent cancels the attempt if nothing has been sent yet. An attempt that has begun to send goes on.
+// AbortUnsent cancels the attempt if nothing has been sent yet. Otherwise the attempt continues.
 func (a *Attempt) AbortUnsent() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -58,7 +58,7 @@
 	}
 }
 
-// abortLocked aborts the attempt; the caller holds a.mu.
+// abortLocked aborts the attempt. The caller must hold a.mu.
 func (a *Attempt) abortLocked(status policy.Status) {
 	if a.aborted {
 		return
@@ -68,12 +68,13 @@
 		a.cancelDial()
 	}
 	if a.conn != nil {
-		_ = a.conn.SetDeadline(time.Unix(1, 0)) // fails only on a closed connection, where nothing waits
+		_ = a.conn.SetDeadline(time.Unix(1, 0)) // interrupts pending I/O; fails only on a closed connection
 	}
 }
 
-// Do carries the attempt out, from the connection to the last byte of the response. It is called once. It
-// sets the request's Req-Deadline header. The request's context ends when its client has gone.
+// Do carries out the attempt, from getting a connection to reading the last byte of the response. It must be called
+// once. It sets the Req-Deadline header of the request. The context of the request must end when the client
+// disconnects.
 func (a *Attempt) Do(request *http.Request) Result {
 	if a.endpoint == nil || !a.endpoint.ready.Load() {
 		return Result{Status: policy.StatusNotSent}
@@ -86,7 +87,7 @@
 
 	c, err := a.connect()
 	if err != nil {
-		return Result{Status: connectStatus(err)}
+		return Result{Status: sendErrorStatus(err)}
 	}
 	request.Header["Req-Deadline"] = []string{formatSeconds(time.Until(a.deadline))}
 	if err := request.Write(buffer); err != nil {
@@ -101,7 +102,7 @@
 	return a.exchange(c, request, buffer.Bytes())
 }
 
-// requestBuffers holds buffers of type *bytes.Buffer in which requests are encoded.
+// requestBuffers holds buffers of type *bytes.Buffer into which requests are encoded.
 var requestBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
 func formatSeconds(d time.Duration) string {
@@ -114,15 +115,15 @@
 	if written < len(encoded) {
 		a.stopSending()
 		a.endpoint.pool.closeConnection(c)
-		return Result{Status: connectStatus(err)} // an incomplete request can't have run
+		return Result{Status: sendErrorStatus(err)} // an incomplete request cannot have been executed
 	}
 	var result Result
-	var keep bool
+	var keepAlive bool
 	if err == nil {
-		result, keep, err = c.readResponse(request)
+		result, keepAlive, err = c.readResponse(request)
 	}
 	aborted, abortStatus := a.stopSending()
-	if err == nil && keep && !aborted {
+	if err == nil && keepAlive && !aborted {
 		a.endpoint.releaseIdle(c)
 	} else {
 		a.endpoint.pool.closeConnection(c)
@@ -133,19 +134,19 @@
 	case aborted:
 		return Result{Status: abortStatus}
 	default:
-		return Result{Status: brokenStatus(err)}
+		return Result{Status: responseErrorStatus(err)}
 	}
 }
 
-// startSending marks the request as being out on the connection, or tells why the attempt must not be sent any more.
-// This is the one guard before the first byte. client ends when the client has gone.
-func (a *Attempt) startSending(client context.Context, c *connection) (refusal counters.Event, refused bool) {
+// startSending marks the request as in flight on the connection, or returns the reason why it must no longer be sent.
+// It is the only check right before the first byte. clientContext ends when the client disconnects.
+func (a *Attempt) startSending(clientContext context.Context, c *connection) (refusal counters.Event, refused bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
 	case a.aborted:
 		return counters.SendRefusedAborted, true
-	case client.Err() != nil:
+	case clientContext.Err() != nil:
 		return counters.SendRefusedClient, true
 	case !a.endpoint.ready.Load():
 		return counters.SendRefusedEndpoint, true
@@ -156,7 +157,8 @@
 	return 0, false
 }
 
-// stopSending detaches the connection. It reports whether the attempt was aborted, and with which status.
+// stopSending detaches the connection from the attempt. It reports whether the attempt was aborted, and with which
+// status.
 func (a *Attempt) stopSending() (aborted bool, status policy.Status) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -164,7 +166,7 @@
 	return a.aborted, a.abortStatus
 }
 
-// connect returns an idle connection to the endpoint or opens one.
+// connect returns an idle connection to the endpoint or opens a new one.
 func (a *Attempt) connect() (*connection, error) {
 	if c := a.endpoint.acquireIdle(); c != nil {
 		return c, nil
@@ -187,8 +189,8 @@
 	return c, nil
 }
 
-// dial opens a connection to the endpoint, unless the attempt is aborted before. A connection that is open
-// by then is returned all the same, for another attempt can use it.
+// dial opens a connection to the endpoint unless the attempt is aborted first. A connection that was established in
+// spite of an abort is returned all the same, because another attempt can use it.
 func (a *Attempt) dial() (net.Conn, error) {
 	pool := a.endpoint.pool
 	ctx, cancel := context.WithDeadline(context.Background(), earlier(a.deadline, time.Now().Add(pool.dialTimeout)))
@@ -203,7 +205,8 @@
 	return conn, err
 }
 
-// startDial makes an abort cancel the dial. It fails if the attempt is aborted already.
+// startDial registers the function with which an abort cancels the dial. It returns false if the attempt has already
+// been aborted.
 func (a *Attempt) startDial(cancel context.CancelFunc) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -214,7 +217,7 @@
 	return true
 }
 
-// stopDial reports whether the attempt was aborted while its connection was being dialed.
+// stopDial marks the dial as finished and reports whether the attempt was aborted during it.
 func (a *Attempt) stopDial() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -14,53 +14,56 @@
 	"springfield/policy"
 )
 
-func TestRefusedConnectionIsNotSent(t *testing.T) {
+// An attempt whose connection is refused has certainly not been executed, which StatusConnectFailed tells the engine.
+func TestRefusedConnectionReportsConnectFailed(t *testing.T) {
 	server := testkit.NewServer(t, testkit.Silent)
 	server.Stop()
 	result := newTestAttempt(newTestEndpoint(t, server.Address())).Do(newTestRequest())
 	if result.Status != policy.StatusConnectFailed {
-		t.Errorf("got %+v", result)
+		t.Errorf("got %+v, want StatusConnectFailed", result)
 	}
 }
 
-// shortConn fails before the last byte.
-type shortConn struct{ net.Conn }
+// shortWriteConn writes all but the last byte and then fails.
+type shortWriteConn struct{ net.Conn }
 
-func (c shortConn) Write(p []byte) (int, error) { return len(p) - 1, errors.New("broken") }
+func (c shortWriteConn) Write(p []byte) (int, error) { return len(p) - 1, errors.New("broken") }
 
-// Guards the line between "never ran" and "may have run": the request's last byte.
-func TestConnectionBrokenBeforeTheLastByteIsNotSent(t *testing.T) {
+// A request may have been executed only if its last byte was written. A write that fails before that must not be
+// reported as one that may have been executed.
+func TestPartialWriteReportsConnectFailed(t *testing.T) {
 	endpoint := newTestEndpoint(t, testkit.NewServer(t, testkit.Silent).Address())
 	connection := mustConnect(t, endpoint)
-	connection.Conn = shortConn{connection.Conn}
+	connection.Conn = shortWriteConn{connection.Conn}
 	endpoint.releaseIdle(connection)
 	if result := newTestAttempt(endpoint).Do(newTestRequest()); result.Status != policy.StatusConnectFailed {
-		t.Errorf("got %+v", result)
+		t.Errorf("got %+v, want StatusConnectFailed", result)
 	}
 }
 
-// Guards rule 2: the result of a cancelled attempt comes after its connection is closed.
+// The result of a cancelled attempt must come after its connection is closed. Otherwise two attempts of a request could
+// be in flight at once.
 func TestAbortClosesTheConnectionBeforeTheResult(t *testing.T) {
 	server, received := newSilentServer(t)
 	endpoint := newTestEndpoint(t, server.Address())
 	attempt := newTestAttempt(endpoint)
-	results := start(attempt, newTestRequest())
+	results := startAttempt(attempt, newTestRequest())
 	testkit.WaitFor(t, "the attempt", received)
 	attempt.Abort(policy.StatusCancelled)
 	result := testkit.Receive(t, "the result", results)
 	if open := endpoint.pool.openConnections.Load(); result.Status != policy.StatusCancelled || open != 0 {
-		t.Errorf("%+v, %d open", result, open)
+		t.Errorf("got %+v with %d open connections", result, open)
 	}
 	testkit.WaitFor(t, "the closed connection", server.Closed)
 }
 
-// hookedConn calls afterRead once it has read something.
-type hookedConn struct {
+// readHookConn calls afterRead after each read that returns data.
+type readHookConn struct {
 	*net.TCPConn
 	afterRead func()
 }
 
-func (c hookedConn) Read(p []byte) (int, error) {
+func (c readHookConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	if n > 0 {
 		c.afterRead()
@@ -68,8 +71,8 @@
 	return n, err
 }
 
-// An abort that comes after the response's last byte changes nothing about the result, but its deadline may
-// have reached the connection, which is closed for that.
+// An abort after the last byte of the response does not change the result. The connection must be closed all the same,
+// because the abort may have set its deadline.
 func TestAbortAfterTheLastByteClosesTheConnection(t *testing.T) {
 	server := testkit.NewServer(t, testkit.Reply(testkit.ResponseOK, true))
 	var attempt *Attempt
@@ -78,43 +81,47 @@
 		if err != nil {
 			return nil, err
 		}
-		return hookedConn{conn.(*net.TCPConn), func() { attempt.Abort(policy.StatusTimedOut) }}, nil
+		return readHookConn{conn.(*net.TCPConn), func() { attempt.Abort(policy.StatusTimedOut) }}, nil
 	}
 	endpoint := newTestEndpointWith(t, server.Address(), Options{Dial: dial})
 	attempt = newTestAttempt(endpoint)
 	result := attempt.Do(newTestRequest())
 	if result.Status != policy.StatusOK || string(result.Response.Body) != "ok" || len(endpoint.idle) != 0 {
-		t.Errorf("%+v, %d idle", result, len(endpoint.idle))
+		t.Errorf("got %+v with %d idle connections", result, len(endpoint.idle))
 	}
 }
 
-func TestAbortUnsentCancelsADial(t *testing.T) {
+// An attempt that is aborted while it dials is not sent, and a connection that is established in spite of that becomes
+// idle.
+func TestAbortUnsentCancelsDial(t *testing.T) {
 	server, gate := testkit.NewServer(t, testkit.Reply(testkit.ResponseOK, true)), testkit.NewDialGate()
 	endpoint := newTestEndpointWith(t, server.Address(), Options{Dial: gate.Dial})
 	attempt := newTestAttempt(endpoint)
-	results := start(attempt, newTestRequest())
+	results := startAttempt(attempt, newTestRequest())
 	testkit.WaitFor(t, "the dial", gate.Dialing)
 	attempt.AbortUnsent()
 	testkit.WaitFor(t, "the end of the dial", gate.Cancelled)
-	gate.Open() // the connection comes up all the same
+	gate.Open() // the connection is established in spite of the abort
 	result := testkit.Receive(t, "the result", results)
 	if result.Status != policy.StatusNotSent || server.Requests.Load() != 0 || len(endpoint.idle) != 1 {
-		t.Errorf("%+v, %d requests, %d idle", result, server.Requests.Load(), len(endpoint.idle))
+		t.Errorf("got %+v with %d requests and %d idle connections", result, server.Requests.Load(), len(endpoint.idle))
 	}
 }
 
-func TestAbortUnsentLeavesASentAttemptAlone(t *testing.T) {
-	server, received, release := newHoldingServer(t)
+// AbortUnsent must not abort an attempt that an endpoint may already be executing.
+func TestAbortUnsentDoesNotAbortSentAttempt(t *testing.T) {
+	server, received, release := newBlockingServer(t)
 	attempt := newTestAttempt(newTestEndpoint(t, server.Address()))
-	results := start(attempt, newTestRequest())
+	results := startAttempt(attempt, newTestRequest())
 	testkit.WaitFor(t, "the attempt", received)
 	attempt.AbortUnsent()
 	release()
 	if result := testkit.Receive(t, "the result", results); result.Status != policy.StatusOK {
-		t.Errorf("got %+v", result)
+		t.Errorf("got %+v, want StatusOK", result)
 	}
 }
 
+// An attempt without a ready endpoint, or one that is aborted or past its deadline, must not reach the server.
 func TestAttemptThatMustNotBeginIsNotSent(t *testing.T) {
 	server := testkit.NewServer(t, testkit.Reply(testkit.ResponseOK, true))
 	endpoint := newTestEndpoint(t, server.Address())
@@ -126,21 +133,22 @@
 		"aborted":            aborted,
 	} {
 		if result := attempt.Do(newTestRequest()); result.Status != policy.StatusNotSent {
-			t.Errorf("%s: got %+v", name, result)
+			t.Errorf("%s: got %+v, want StatusNotSent", name, result)
 		}
 	}
 	endpoint.releaseIdle(mustConnect(t, endpoint))
 	expired := NewAttempt(endpoint, time.Now())
 	if result := expired.Do(newTestRequest()); result.Status != policy.StatusNotSent || len(endpoint.idle) != 1 {
-		t.Errorf("past the deadline: %+v, %d idle", result, len(endpoint.idle))
+		t.Errorf("past the deadline: got %+v with %d idle connections", result, len(endpoint.idle))
 	}
 	if got := server.Requests.Load(); got != 0 {
 		t.Errorf("%d requests reached the server", got)
 	}
 }
 
-// Guards rule 3: an attempt that waited for its connection checks the endpoint list again.
-func TestNoFirstByteToADrainingEndpoint(t *testing.T) {
+// An endpoint may begin to drain while an attempt waits for its connection. The attempt must check this again before
+// its first byte.
+func TestAttemptToDrainingEndpointIsNotSent(t *testing.T) {
 	server := testkit.NewServer(t, testkit.Reply(testkit.ResponseOK, true))
 	endpoint := newTestEndpoint(t, server.Address())
 	attempt := newTestAttempt(endpoint)
@@ -151,19 +159,19 @@
 	endpoint.SetReady(false)
 	if refusal, refused := attempt.startSending(t.Context(), connection); !refused ||
 		refusal != counters.SendRefusedEndpoint {
-		t.Errorf("refused %v, since %v", refused, refusal)
+		t.Errorf("refused %v with reason %v", refused, refusal)
 	}
 	endpoint.releaseIdle(connection)
 	result := attempt.Do(newTestRequest())
 	if result.Status != policy.StatusNotSent || server.Requests.Load() != 0 || len(endpoint.idle) != 0 {
-		t.Errorf("%+v, %d requests, %d idle", result, server.Requests.Load(), len(endpoint.idle))
+		t.Errorf("got %+v with %d requests and %d idle connections", result, server.Requests.Load(), len(endpoint.idle))
 	}
 }
 
-// A response that comes after the time-out belongs to nobody: its connection ends, and the next request gets
-// its own response. A time-out that comes after the response ends nothing: neither that response nor the
-// connection, on which another request may be out by then.
-func TestResponseThatCrossesItsTimeout(t *testing.T) {
+// A response that arrives after its timeout must not be taken for the response to the next request, so its connection
+// is closed. A timeout that fires after the response must not affect the connection, on which another request may be in
+// flight.
+func TestResponseAfterTimeoutIsDiscarded(t *testing.T) {
 	received, release := make(chan struct{}, 10), make(chan struct{})
 	server := testkit.NewServer(t, func(conn net.Conn, request *http.Request) bool {
 		if request.Header.Get("Req-Id") != "late" {
@@ -171,57 +179,58 @@
 		}
 		received <- struct{}{}
 		<-release
-		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate") // to a closed connection
+		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate") // the connection is closed
 		return true
 	})
 	endpoint := newTestEndpoint(t, server.Address())
 	attempt, request := newTestAttempt(endpoint), newTestRequest()
 	request.Header["Req-Id"] = []string{"late"}
-	results := start(attempt, request)
+	results := startAttempt(attempt, request)
 	testkit.WaitFor(t, "the attempt", received)
 	attempt.Abort(policy.StatusTimedOut)
 	if result := testkit.Receive(t, "the result", results); result.Status != policy.StatusTimedOut {
-		t.Errorf("%+v", result)
+		t.Errorf("got %+v, want StatusTimedOut", result)
 	}
 	close(release)
 	for range 2 {
 		attempt := newTestAttempt(endpoint)
 		result := attempt.Do(newTestRequest())
 		if result.Status != policy.StatusOK || string(result.Response.Body) != "ok" {
-			t.Errorf("then %+v, %q", result, result.Response.Body)
+			t.Errorf("after the timeout: got %+v, body %q", result, result.Response.Body)
 		}
 		attempt.Abort(policy.StatusTimedOut)
 	}
 	if got := server.Connections.Load(); got != 2 {
-		t.Errorf("%d connections, want the one that timed out and another", got)
+		t.Errorf("got %d connections, want 2: the one that timed out and its successor", got)
 	}
 }
 
-// BenchmarkAttempt measures one attempt at a time on a kept connection, upstream server included.
+// BenchmarkAttempt measures sequential attempts on one reused connection, including the upstream server.
 func BenchmarkAttempt(b *testing.B) {
 	server := testkit.NewServer(b, testkit.Reply(testkit.ResponseOK, true))
 	endpoint := newTestEndpoint(b, server.Address())
 	b.ReportAllocs()
 	for b.Loop() {
 		if result := newTestAttempt(endpoint).Do(newTestRequest()); result.Status != policy.StatusOK {
-			b.Fatalf("%+v", result)
+			b.Fatalf("got %+v, want StatusOK", result)
 		}
 	}
 }
 
-// An attempt whose client has gone while it waited for its connection is not sent, whether or not the event loop knows.
-func TestNoFirstByteForAClientThatHasGone(t *testing.T) {
+// The client may disconnect while its attempt waits for a connection. The attempt must not be sent then, even if the
+// event loop has not aborted it yet.
+func TestAttemptOfDisconnectedClientIsNotSent(t *testing.T) {
 	server, gate := testkit.NewServer(t, testkit.Reply(testkit.ResponseOK, true)), testkit.NewDialGate()
 	endpoint := newTestEndpointWith(t, server.Address(), Options{Dial: gate.Dial})
-	client, leave := context.WithCancel(t.Context())
-	results := start(newTestAttempt(endpoint), newTestRequest().WithContext(client))
+	client, disconnect := context.WithCancel(t.Context())
+	results := startAttempt(newTestAttempt(endpoint), newTestRequest().WithContext(client))
 	testkit.WaitFor(t, "the dial", gate.Dialing)
-	leave()
+	disconnect()
 	gate.Open()
 	if result := testkit.Receive(t, "the result", results); result.Status != policy.StatusNotSent {
-		t.Errorf("got %+v", result)
+		t.Errorf("got %+v, want StatusNotSent", result)
 	}
 	if got := server.Requests.Load(); got != 0 {
-		t.Errorf("%d requests were sent", got)
+		t.Errorf("%d requests reached the server", got)
 	}
 }
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// connection is one connection to an endpoint. One goroutine at a time uses it.
+// connection is one connection to an endpoint. Only one goroutine uses it at a time.
 type connection struct {
 	net.Conn
-	socket    syscall.RawConn
-	reader    *bufio.Reader
-	allowance int    // number of bytes that the present response may still take
-	head      []byte // the present response's head as it came, and perhaps a part of its body
-	idleSince time.Time
+	socket         syscall.RawConn
+	reader         *bufio.Reader
+	remainingBytes int    // number of bytes that may still be read for the current response
+	head           []byte // raw head of the current response, possibly followed by a part of its body
+	idleSince      time.Time
 }
 
 func newConnection(conn net.Conn) (*connection, error) {
-	withSocket, ok := conn.(syscall.Conn)
+	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
-		return nil, errNoSocket
+		return nil, errNotSyscallConn
 	}
-	socket, err := withSocket.SyscallConn()
+	socket, err := syscallConn.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
@@ -32,26 +32,27 @@
 	return c, nil
 }
 
-// Read limits what a response may bring, because net/http reads heads of any length.
+// Read reads from the connection up to the limit of the current response. net/http itself does not limit the length of
+// a head.
 func (c *connection) Read(p []byte) (int, error) {
-	if c.allowance <= 0 {
+	if c.remainingBytes <= 0 {
 		return 0, errResponseTooLong
 	}
-	n, err := c.Conn.Read(p[:min(len(p), c.allowance)])
-	c.allowance -= n
+	n, err := c.Conn.Read(p[:min(len(p), c.remainingBytes)])
+	c.remainingBytes -= n
 	if len(c.head) < MaxHeaderBytes {
 		c.head = append(c.head, p[:n]...)
 	}
 	return n, err
 }
 
-// isStale reports whether the peer has closed an idle connection or has sent unsolicited bytes on it.
+// isStale reports whether the peer has closed the idle connection or has sent unsolicited bytes on it.
 func (c *connection) isStale() bool {
-	quiet := false
+	isQuiet := false
 	err := c.socket.Control(func(fd uintptr) {
 		var buffer [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		isQuiet = errors.Is(err, syscall.EAGAIN)
 	})
-	return err != nil || !quiet || c.reader.Buffered() > 0
+	return err != nil || !isQuiet || c.reader.Buffered() > 0
 }
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -18,7 +18,7 @@
 
 	mu     sync.Mutex
 	closed bool
-	idle   []*connection // in the order in which they became idle
+	idle   []*connection // ordered by when they became idle, oldest first
 	active map[*Attempt]struct{}
 }
 
@@ -28,23 +28,23 @@
 // StartedAt returns the time at which the process started.
 func (e *Endpoint) StartedAt() time.Duration { return e.startedAt }
 
-// SetReady sets whether attempts may be sent to the endpoint. Once it is not ready, its idle connections
-// are closed and an attempt whose first byte is not out is not sent; the others go on.
+// SetReady sets whether attempts may be sent to the endpoint. When the endpoint stops being ready, its idle connections
+// are closed, and attempts that have not sent their first byte are not sent. Other attempts continue.
 func (e *Endpoint) SetReady(ready bool) {
 	if e.ready.Swap(ready) && !ready {
 		e.closeIdle()
 	}
 }
 
-// Close removes an endpoint that has left the list. Attempts that have been sent go on.
+// Close removes an endpoint that has left the list. Attempts that have been sent continue.
 func (e *Endpoint) Close() {
 	e.markClosed()
 	e.closeIdle()
 	e.pool.removeEndpoint(e)
 }
 
-// CloseReplaced removes an endpoint whose place another process has taken. Its active attempts end as
-// resets, for no response to them can come any more.
+// CloseReplaced removes an endpoint that another process has replaced. Its active attempts end with policy.StatusReset,
+// because they can no longer get a response.
 func (e *Endpoint) CloseReplaced() {
 	e.markClosed()
 	for _, attempt := range e.listActive() {
@@ -54,7 +54,7 @@
 	e.pool.removeEndpoint(e)
 }
 
-// markClosed makes sure that no attempt begins and no connection becomes idle any more.
+// markClosed prevents new attempts from starting and connections from becoming idle.
 func (e *Endpoint) markClosed() {
 	e.ready.Store(false)
 	e.mu.Lock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// sweep closes the idle connections that are old or stale.
+// sweep closes the idle connections that are stale or have exceeded the idle timeout.
 func (e *Endpoint) sweep(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -99,8 +99,8 @@
 	return now.Sub(c.idleSince) <= e.pool.idleTimeout && !c.isStale()
 }
 
-// acquireIdle returns an idle connection that can be reused: of those that are past the reuse delay, the
-// one that was used last. It returns nil if there is none.
+// acquireIdle returns the most recently used idle connection that is past the reuse delay and can be reused, or nil if
+// there is none. It closes the connections that it finds unusable.
 func (e *Endpoint) acquireIdle() *connection {
 	for {
 		now := time.Now()
@@ -127,7 +127,7 @@
 	return c
 }
 
-// releaseIdle keeps the connection for the next attempt, or closes it if none may come.
+// releaseIdle keeps the connection for the next attempt, or closes it if the endpoint accepts no more attempts.
 func (e *Endpoint) releaseIdle(c *connection) {
 	c.idleSince = time.Now()
 	e.mu.Lock()
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -7,22 +7,23 @@
 	"springfield/policy"
 )
 
-// Reasons for which an attempt gets no connection.
+// Errors that prevent an attempt from getting a connection.
 var (
-	errPoolFull       = errors.New("all connections of the pool are open")
-	errAttemptAborted = errors.New("the attempt was aborted")
-	errNoSocket       = errors.New("the dialer returned a connection without a socket")
+	errPoolFull       = errors.New("connection pool is full")
+	errAttemptAborted = errors.New("attempt was aborted")
+	errNotSyscallConn = errors.New("dialed connection does not implement syscall.Conn")
 )
 
-// Reasons for which a response is not used.
+// Errors that cause a response to be discarded.
 var (
-	errResponseTooLong = errors.New("the response is too long")
-	errAmbiguousLength = errors.New("the length of the response is ambiguous")
+	errResponseTooLong = errors.New("response is too long")
+	errAmbiguousLength = errors.New("response length is ambiguous")
 )
 
-// connectStatus maps an error before the last byte of a request to the status of the attempt. A full pool is the
-// gateway's own limit and, as a failure of this machine, no fault of the endpoint.
-func connectStatus(err error) policy.Status {
+// sendErrorStatus maps an error that occurred before the last byte of a request was written to the status of the
+// attempt. A full pool is a limit of the gateway itself. It is not attributed to the endpoint, and neither is a failure
+// of this machine.
+func sendErrorStatus(err error) policy.Status {
 	switch {
 	case errors.Is(err, errPoolFull) || errors.Is(err, errAttemptAborted):
 		return policy.StatusNotSent
@@ -33,9 +34,9 @@
 	}
 }
 
-// brokenStatus maps an error after the last byte of a request to the status of the attempt: it may have run. A failure
-// of this machine is not held against the endpoint.
-func brokenStatus(err error) policy.Status {
+// responseErrorStatus maps an error that occurred after the last byte of a request was written to the status of the
+// attempt. The request may have been executed. A failure of this machine is not attributed to the endpoint.
+func responseErrorStatus(err error) policy.Status {
 	if oserror.IsLocal(err) {
 		return policy.StatusCancelled
 	}
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -11,20 +11,20 @@
 	"springfield/internal/testkit"
 )
 
-// The pools of the tests have the limits of a gateway without settings of its own.
+// Limits of the pools in tests. They are those of a gateway with default settings.
 const (
 	testDialTimeout    = 250 * time.Millisecond
 	testIdleTimeout    = 9 * time.Second
 	testMaxConnections = 283
 )
 
-// newTestEndpoint returns a ready endpoint of a pool of its own, which reuses connections without a delay.
+// newTestEndpoint returns a ready endpoint of a new pool that reuses connections without a delay.
 func newTestEndpoint(t testing.TB, address string) *Endpoint {
 	t.Helper()
 	return newTestEndpointWith(t, address, Options{})
 }
 
-// newTestEndpointWith is newTestEndpoint with a dialer or a limit on connections.
+// newTestEndpointWith is like newTestEndpoint, with a dialer or a connection limit from the options.
 func newTestEndpointWith(t testing.TB, address string, options Options) *Endpoint {
 	t.Helper()
 	options.DialTimeout, options.IdleTimeout = testDialTimeout, testIdleTimeout
@@ -39,7 +39,7 @@
 	return endpoint
 }
 
-// newTestAttempt returns an attempt whose deadline outlasts the test.
+// newTestAttempt returns an attempt whose deadline is later than the end of the test.
 func newTestAttempt(endpoint *Endpoint) *Attempt {
 	return NewAttempt(endpoint, time.Now().Add(testkit.Timeout))
 }
@@ -55,14 +55,14 @@
 	}
 }
 
-// start carries the attempt out in a goroutine of its own.
-func start(attempt *Attempt, request *http.Request) <-chan Result {
+// startAttempt carries out the attempt in a new goroutine.
+func startAttempt(attempt *Attempt, request *http.Request) <-chan Result {
 	results := make(chan Result, 1)
 	go func() { results <- attempt.Do(request) }()
 	return results
 }
 
-// mustConnect opens a connection that the endpoint does not know to be idle.
+// mustConnect opens a connection that is not on the endpoint's idle list.
 func mustConnect(t testing.TB, endpoint *Endpoint) *connection {
 	t.Helper()
 	c, err := newTestAttempt(endpoint).connect()
@@ -72,7 +72,7 @@
 	return c
 }
 
-// newSilentServer returns a server that never responds, and a channel that gets a value for each request.
+// newSilentServer returns a server that never responds, and a channel that receives a value for each request.
 func newSilentServer(t testing.TB) (server *testkit.Server, received <-chan struct{}) {
 	t.Helper()
 	requests := make(chan struct{}, 1)
@@ -83,8 +83,8 @@
 	return server, requests
 }
 
-// newHoldingServer is newSilentServer, but the server responds once release is called.
-func newHoldingServer(t testing.TB) (server *testkit.Server, received <-chan struct{}, release func()) {
+// newBlockingServer is like newSilentServer, but the server responds once release is called.
+func newBlockingServer(t testing.TB) (server *testkit.Server, received <-chan struct{}, release func()) {
 	t.Helper()
 	requests, released := make(chan struct{}, 1), make(chan struct{})
 	server = testkit.NewServer(t, func(conn net.Conn, _ *http.Request) bool {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,5 +1,5 @@
-// Package upstream sends requests to the endpoints over pooled HTTP/1.1 connections. Unlike http.Transport
-// it never sends a request twice, and it reports whether a request that failed may have run.
+// Package upstream sends requests to the endpoints over pooled HTTP/1.1 connections. Unlike http.Transport it never
+// sends a request twice, and it reports whether a failed request may have been executed.
 package upstream
 
 import (
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// sweepInterval is the time between two searches for idle connections that are to be closed.
+// sweepInterval is the interval between searches for idle connections to close.
 const sweepInterval = 2 * time.Second
 
-// defaultReuseDelay is the time for which a connection is not reused after a response. Some responses come
-// twice, the second copy some milliseconds late, and nothing tells to which request a response belongs. On a
-// connection that is still idle the second copy shows up as unsolicited bytes; on one that was reused at
-// once it would be taken for the response to the next request. A longer delay costs handshakes.
+// defaultReuseDelay is how long a connection is not reused after a response. Some responses arrive twice, the second
+// copy some milliseconds late, and nothing in a response identifies its request. On a connection that is still idle,
+// the second copy is detected as unsolicited bytes; on a connection that was reused at once, it would be taken for the
+// response to the next request. A longer delay would cost more connection handshakes.
 const defaultReuseDelay = 20 * time.Millisecond
 
-// Dialer opens a connection. It has the signature of net.Dialer.DialContext, and its connections implement
+// Dialer opens a connection. It has the signature of net.Dialer.DialContext, and its connections must implement
 // syscall.Conn.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Options configures a Pool.
 type Options struct {
-	Dial           Dialer // nil: that of a net.Dialer
+	Dial           Dialer // nil selects the DialContext of a net.Dialer
 	DialTimeout    time.Duration
-	IdleTimeout    time.Duration // a connection that has been idle for longer is closed
-	MaxConnections int           // to all endpoints together
+	IdleTimeout    time.Duration // connections that are idle for longer are closed
+	MaxConnections int           // limit for all endpoints together
 }
 
 // Pool holds the connections to the endpoints.
@@ -38,7 +38,7 @@
 	idleTimeout     time.Duration
 	reuseDelay      time.Duration
 	maxConnections  int64
-	openConnections atomic.Int64 // those that are being dialed included
+	openConnections atomic.Int64 // includes connections that are being dialed
 
 	mu        sync.Mutex
 	endpoints map[*Endpoint]struct{}
@@ -60,7 +60,7 @@
 	return p
 }
 
-// Run closes idle connections that are old or that the peer has closed, until the context ends.
+// Run closes the idle connections that are stale or have exceeded the idle timeout, until ctx ends.
 func (p *Pool) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -74,8 +74,8 @@
 	}
 }
 
-// AddEndpoint adds a process that listens at the address. It is not ready yet. startedAt tells it from
-// other processes at the same address.
+// AddEndpoint adds the process that listens at the address. It is not ready until SetReady is called. startedAt
+// distinguishes it from other processes at the same address.
 func (p *Pool) AddEndpoint(address string, startedAt time.Duration) *Endpoint {
 	e := &Endpoint{pool: p, address: address, startedAt: startedAt, active: map[*Attempt]struct{}{}}
 	p.mu.Lock()
@@ -106,7 +106,7 @@
 	return list
 }
 
-// reserveConnection reserves the place of one connection. It fails if the pool is full.
+// reserveConnection reserves capacity for one connection. It returns false if the pool is full.
 func (p *Pool) reserveConnection() bool {
 	if p.openConnections.Add(1) > p.maxConnections {
 		p.freeConnection()
@@ -118,6 +118,6 @@
 func (p *Pool) freeConnection() { p.openConnections.Add(-1) }
 
 func (p *Pool) closeConnection(c *connection) {
-	_ = c.Close() // it is not used any more, whatever the result
+	_ = c.Close() // the connection is discarded even if closing it fails
 	p.freeConnection()
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -13,19 +13,20 @@
 	"springfield/policy"
 )
 
-// An upstream server closes idle connections; a request written to one from then on would be a reset.
+// An upstream server may close an idle connection at any time. A request that is written to such a connection would end
+// as a reset.
 func TestStaleIdleConnectionIsNotReused(t *testing.T) {
-	server := testkit.NewServer(t, testkit.Reply(testkit.ResponseOK, false)) // offers keep-alive, and closes
+	server := testkit.NewServer(t, testkit.Reply(testkit.ResponseOK, false)) // offers keep-alive but closes
 	endpoint := newTestEndpoint(t, server.Address())
 	for range 3 {
 		if result := newTestAttempt(endpoint).Do(newTestRequest()); result.Status != policy.StatusOK {
-			t.Fatalf("got %+v", result)
+			t.Fatalf("got %+v, want StatusOK", result)
 		}
 		testkit.Eventually(t, "the end of the idle connection", endpoint.idle[0].isStale)
 	}
 	endpoint.pool.sweep(time.Now())
 	if open := endpoint.pool.openConnections.Load(); len(endpoint.idle) != 0 || open != 0 {
-		t.Errorf("%d idle, %d open", len(endpoint.idle), open)
+		t.Errorf("after a sweep: %d idle and %d open connections, want 0", len(endpoint.idle), open)
 	}
 }
 
@@ -37,7 +38,7 @@
 	}
 	endpoint.pool.sweep(time.Now())
 	if server.Connections.Load() != 1 || len(endpoint.idle) != 1 {
-		t.Errorf("%d connections, %d idle", server.Connections.Load(), len(endpoint.idle))
+		t.Errorf("got %d connections, %d of them idle, want 1", server.Connections.Load(), len(endpoint.idle))
 	}
 	endpoint.pool.sweep(time.Now().Add(testIdleTimeout + time.Second))
 	testkit.WaitFor(t, "the closed connection", server.Closed)
@@ -49,60 +50,62 @@
 	endpoint.releaseIdle(older)
 	endpoint.releaseIdle(newer)
 	if got := endpoint.acquireIdle(); got != newer {
-		t.Error("not the one that was used last")
+		t.Error("did not get the most recently used connection")
 	}
 	endpoint.releaseIdle(newer)
 	endpoint.pool.reuseDelay = time.Minute
 	older.idleSince = time.Now().Add(-time.Minute)
 	endpoint.pool.idleTimeout = time.Hour
 	if got := endpoint.acquireIdle(); got != older {
-		t.Error("not the only one that is past the reuse delay")
+		t.Error("did not get the only connection past the reuse delay")
 	}
 	if got := endpoint.acquireIdle(); got != nil {
-		t.Error("one that is not past the reuse delay")
+		t.Error("got a connection that is not past the reuse delay")
 	}
 }
 
-// A process that starts again under the same id is another one: the old process answers no more.
-func TestReplacedEndpointEndsItsAttempts(t *testing.T) {
+// When a process restarts under the same ID, the old process sends no more responses, so its attempts must end at once.
+func TestReplacedEndpointResetsItsAttempts(t *testing.T) {
 	server, received := newSilentServer(t)
 	endpoint := newTestEndpoint(t, server.Address())
-	results := start(newTestAttempt(endpoint), newTestRequest())
+	results := startAttempt(newTestAttempt(endpoint), newTestRequest())
 	testkit.WaitFor(t, "the attempt", received)
 	endpoint.CloseReplaced()
 	if result := testkit.Receive(t, "the result", results); result.Status != policy.StatusReset {
-		t.Errorf("got %+v", result)
+		t.Errorf("got %+v, want StatusReset", result)
 	}
 }
 
-func TestClosedEndpointLetsItsAttemptsGoOn(t *testing.T) {
-	server, received, release := newHoldingServer(t)
+// An endpoint that has left the list still completes its requests, so their attempts must not be aborted. Their
+// connections are closed afterwards.
+func TestClosedEndpointLetsSentAttemptsFinish(t *testing.T) {
+	server, received, release := newBlockingServer(t)
 	endpoint := newTestEndpoint(t, server.Address())
-	results := start(newTestAttempt(endpoint), newTestRequest())
+	results := startAttempt(newTestAttempt(endpoint), newTestRequest())
 	testkit.WaitFor(t, "the attempt", received)
 	endpoint.Close()
 	release()
 	if result := testkit.Receive(t, "the result", results); result.Status != policy.StatusOK {
-		t.Errorf("got %+v", result)
+		t.Errorf("got %+v, want StatusOK", result)
 	}
 	testkit.WaitFor(t, "the closed connection", server.Closed)
 	if open := endpoint.pool.openConnections.Load(); open != 0 || len(endpoint.pool.endpoints) != 0 {
-		t.Errorf("%d open, %d endpoints", open, len(endpoint.pool.endpoints))
+		t.Errorf("%d open connections and %d endpoints, want 0", open, len(endpoint.pool.endpoints))
 	}
 }
 
-func TestConnectionsAreLimited(t *testing.T) {
+func TestFullPoolOpensNoConnection(t *testing.T) {
 	address := testkit.NewServer(t, testkit.Silent).Address()
 	endpoint := newTestEndpointWith(t, address, Options{MaxConnections: 1})
 	mustConnect(t, endpoint)
-	result := testkit.Receive(t, "the result", start(newTestAttempt(endpoint), newTestRequest()))
+	result := testkit.Receive(t, "the result", startAttempt(newTestAttempt(endpoint), newTestRequest()))
 	if open := endpoint.pool.openConnections.Load(); result.Status != policy.StatusNotSent || open != 1 {
-		t.Errorf("%+v, %d open", result, open)
+		t.Errorf("got %+v with %d open connections, want StatusNotSent and 1", result, open)
 	}
 }
 
-// Guards rule 1: a duplicate response that comes late must not be taken for the response to the next
-// request. The connection is not reused at once, and by then the duplicate has come, or it is reused.
+// A late duplicate of a response must not be taken for the response to the next request. Connections are not reused
+// within the reuse delay; after it, a connection that has received a duplicate is closed and the others are reused.
 func TestLateDuplicateResponseIsNotUsed(t *testing.T) {
 	var mu sync.Mutex
 	var first net.Conn
@@ -112,7 +115,7 @@
 		if first == nil {
 			first = conn
 		} else {
-			_, _ = io.WriteString(first, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate") // it may be closed
+			_, _ = io.WriteString(first, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate") // the connection may be closed
 		}
 		_, err := io.WriteString(conn, testkit.ResponseOK)
 		return err == nil
@@ -122,7 +125,7 @@
 	for range 3 {
 		result := newTestAttempt(endpoint).Do(newTestRequest())
 		if result.Status != policy.StatusOK || string(result.Response.Body) != "ok" {
-			t.Errorf("%+v, %q", result, result.Response.Body)
+			t.Errorf("got %+v, body %q", result, result.Response.Body)
 		}
 	}
 	testkit.Eventually(t, "the late response", endpoint.idle[0].isStale)
@@ -130,24 +133,24 @@
 	newTestAttempt(endpoint).Do(newTestRequest())
 	newTestAttempt(endpoint).Do(newTestRequest())
 	if got := server.Connections.Load(); got != 3 {
-		t.Errorf("%d connections: those past the reuse delay are not reused", got)
+		t.Errorf("got %d connections, want 3: connections past the reuse delay are reused", got)
 	}
 }
 
-func TestReuseDelayOfANewPool(t *testing.T) {
+func TestNewPoolHasDefaultReuseDelay(t *testing.T) {
 	if got := NewPool(Options{}).reuseDelay; got != defaultReuseDelay {
 		t.Errorf("got %v, want %v", got, defaultReuseDelay)
 	}
 }
 
-func TestRunClosesStaleConnectionsUntilItIsCancelled(t *testing.T) {
+func TestRunClosesStaleConnectionsUntilCancelled(t *testing.T) {
 	server := testkit.NewServer(t, testkit.Reply(testkit.ResponseOK, false))
 	endpoint := newTestEndpoint(t, server.Address())
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { endpoint.pool.Run(ctx); close(ended) }()
 	if result := newTestAttempt(endpoint).Do(newTestRequest()); result.Status != policy.StatusOK {
-		t.Fatalf("got %+v", result)
+		t.Fatalf("got %+v, want StatusOK", result)
 	}
 	testkit.Eventually(t, "the closed connection", func() bool { return endpoint.pool.openConnections.Load() == 0 })
 	cancel()
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -9,37 +9,37 @@
 	"springfield/policy"
 )
 
-// Limits of a message's size. The header limit includes preceding 1xx responses.
+// Size limits of a message. The header limit includes preceding 1xx responses.
 const (
 	MaxBodyBytes   = 64 << 10
 	MaxHeaderBytes = 16 << 10
 
-	maxChunkOverhead = 16 << 10 // what the chunked coding of a body may add to it
+	maxChunkOverhead = 16 << 10 // bytes that the chunked coding may add to a body
 )
 
 const (
-	usageHeader  = "Usage-Percent"
-	rejectHeader = "Srv-Declined"
+	usageHeader     = "Usage-Percent"
+	rejectionHeader = "Srv-Declined"
 
 	percent         = 100
 	maxUsagePercent = 1e6
 )
 
-// Response is a response that is passed on to the client.
+// Response is the part of an upstream response that is passed on to the client.
 type Response struct {
 	ContentType []string
 	Body        []byte
 }
 
-// readResponse reads the complete response and reports whether the connection can be kept. A response whose
-// end is ambiguous may be a part of another one, so it is an error; the request may have run.
-func (c *connection) readResponse(request *http.Request) (result Result, keep bool, err error) {
-	c.allowance, c.head = MaxHeaderBytes, c.head[:0]
+// readResponse reads the complete response and reports whether the connection can be reused. A response with an
+// ambiguous end is an error, because it may be a part of another response; the request may have been executed.
+func (c *connection) readResponse(request *http.Request) (result Result, keepAlive bool, err error) {
+	c.remainingBytes, c.head = MaxHeaderBytes, c.head[:0]
 	response, err := c.readHead(request)
 	if err != nil {
 		return Result{}, false, err
 	}
-	c.allowance = MaxBodyBytes + maxChunkOverhead
+	c.remainingBytes = MaxBodyBytes + maxChunkOverhead
 	body, err := c.readBody(response)
 	if err != nil {
 		return Result{}, false, err
@@ -50,15 +50,15 @@
 	return result, !response.Close && c.reader.Buffered() == 0, nil
 }
 
-// readHead reads the head of the final response and skips interim ones.
+// readHead reads the head of the final response and skips interim ones. Status 101 counts as final.
 func (c *connection) readHead(request *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, err
 		}
-		interim := response.StatusCode/100 == 1 && response.StatusCode != http.StatusSwitchingProtocols
-		if !interim {
+		isInterim := response.StatusCode/100 == 1 && response.StatusCode != http.StatusSwitchingProtocols
+		if !isInterim {
 			return response, nil
 		}
 	}
@@ -84,16 +84,16 @@
 	return body, err
 }
 
-// hasContentLength reports whether a head has a Content-Length field, which net/http drops without notice if
-// there is a Transfer-Encoding. What looks like one in the part of the body that came along counts as well:
-// no response is better than an ambiguous one.
+// hasContentLength reports whether a response head has a Content-Length field, which net/http drops silently if there
+// is a Transfer-Encoding field. A match in the part of the body that was read with the head counts as well, because no
+// response is better than an ambiguous one.
 func hasContentLength(head []byte) bool {
 	return bytes.Contains(bytes.ToLower(head), []byte("\ncontent-length"))
 }
 
 // responseStatus maps a complete response to the status of its attempt.
 func responseStatus(response *http.Response) policy.Status {
-	rejected := response.Header.Get(rejectHeader) == "1"
+	rejected := response.Header.Get(rejectionHeader) == "1"
 	switch code := response.StatusCode; {
 	case code == http.StatusOK:
 		return policy.StatusOK
@@ -104,13 +104,13 @@
 	}
 }
 
-// parseUsage reads the customer's usage from the values of its header, as a share of the quota.
+// parseUsage parses the customer's usage from the values of its header and returns it as a fraction of the quota.
 func parseUsage(values []string) (usage float64, ok bool) {
 	if len(values) == 0 {
 		return 0, false
 	}
 	value, err := strconv.ParseFloat(values[0], 64)
-	if err == nil && value >= 0 && value <= maxUsagePercent { // false for NaN
+	if err == nil && value >= 0 && value <= maxUsagePercent { // the comparison is false for NaN
 		return value / percent, true
 	}
 	return 0, false
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -17,8 +17,9 @@
 	return "HTTP/1.1 " + status + "\r\nContent-Length: 2\r\n" + fields + "\r\nok"
 }
 
-// Guards the protocol's table of outcomes: what may have run and what never did.
-func TestStatusOfEachResponse(t *testing.T) {
+// The status of a response must tell correctly whether the request may have been executed, and a connection must not be
+// reused after a response with an ambiguous end.
+func TestResponseMapsToStatus(t *testing.T) {
 	reply := testkit.Reply
 	const ok = testkit.ResponseOK
 	const hint = "HTTP/1.1 103 Early Hints\r\n\r\n"
@@ -26,43 +27,43 @@
 		name   string
 		script testkit.Script
 		want   policy.Status
-		reused bool // the connection is kept
+		reused bool // the connection is kept for reuse
 	}{
 		{"served", reply(ok, true), policy.StatusOK, true},
 		{"served, last on its connection", reply(responseText("200 OK", "Connection: close\r\n"), true),
 			policy.StatusOK, false},
 		{"served in chunks", reply(chunkedHead+"2\r\nok\r\n0\r\n\r\n", true), policy.StatusOK, true},
-		{"served after a hint", reply(hint+ok, true), policy.StatusOK, true},
-		{"served with bytes to spare", reply(ok+"?", true), policy.StatusOK, false},
+		{"served after an interim response", reply(hint+ok, true), policy.StatusOK, true},
+		{"served with excess bytes", reply(ok+"?", true), policy.StatusOK, false},
 		{"error", reply(responseText("500 X", ""), true), policy.StatusServerError, true},
-		{"503 of unknown cause", reply(responseText("503 X", ""), true), policy.StatusServerError, true},
+		{"503 without a rejection", reply(responseText("503 X", ""), true), policy.StatusServerError, true},
 		{"503 rejected", reply(responseText("503 X", "Srv-Declined: 1\r\n"), true), policy.StatusRejected, true},
 		{"504 rejected", reply(responseText("504 X", "Srv-Declined: 1\r\n"), true), policy.StatusRejected, true},
-		{"500 is no rejection", reply(responseText("500 X", "Srv-Declined: 1\r\n"), true),
+		{"500 with a rejection header", reply(responseText("500 X", "Srv-Declined: 1\r\n"), true),
 			policy.StatusServerError, true},
 		{"closed without a response", reply("", false), policy.StatusReset, false},
-		{"half a body", reply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", false), policy.StatusReset, false},
+		{"incomplete body", reply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", false), policy.StatusReset, false},
 		{"garbage", reply("What?\r\n\r\n", false), policy.StatusReset, false},
-		{"too long", reply("HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n", true), policy.StatusReset, false},
+		{"length too large", reply("HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n", true), policy.StatusReset, false},
 		{"no length", reply("HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", MaxBodyBytes+1), true),
 			policy.StatusReset, false},
-		{"no length, short", reply("HTTP/1.1 200 OK\r\n\r\nok", false), policy.StatusReset, false},
-		{"two lengths", reply("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nok", true),
+		{"no length, short body", reply("HTTP/1.1 200 OK\r\n\r\nok", false), policy.StatusReset, false},
+		{"two Content-Length fields", reply("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nok", true),
 			policy.StatusReset, false},
-		{"a negative length", reply("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nok", true),
+		{"negative length", reply("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nok", true),
 			policy.StatusReset, false},
-		{"a length and a coding", reply("HTTP/1.1 200 OK\r\ncontent-length : 2\r\nTransfer-Encoding: chunked\r\n\r\n"+
+		{"Content-Length, then chunked", reply("HTTP/1.1 200 OK\r\ncontent-length : 2\r\nTransfer-Encoding: chunked\r\n\r\n"+
 			"2\r\nok\r\n0\r\n\r\n", true), policy.StatusReset, false},
-		{"a coding and a length", reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n"+
+		{"chunked, then Content-Length", reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n"+
 			"2\r\nok\r\n0\r\n\r\n", true), policy.StatusReset, false},
-		{"a broken chunk", reply(chunkedHead+"2\r\nok\r\nzz\r\nok\r\n0\r\n\r\n", true), policy.StatusReset, false},
-		{"chunks without end", testkit.Flood(chunkedHead, "1\r\nx\r\n"), policy.StatusReset, false},
-		{"a head without end", testkit.Flood("HTTP/1.1 200 OK\r\n", "X-Pad: pppp\r\n"), policy.StatusReset, false},
-		{"a line without end", testkit.Flood("HTTP/1.1 200 OK\r\nX-Pad: ", "pppp"), policy.StatusReset, false},
-		{"hints without end", testkit.Flood("", hint), policy.StatusReset, false},
-		{"served after many hints", reply(strings.Repeat(hint, 20)+ok, true), policy.StatusOK, true},
-		{"served with a copy behind", reply(ok+ok, true), policy.StatusOK, false},
-		{"3 GB", reply("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nok", true), policy.StatusReset, false},
+		{"invalid chunk size", reply(chunkedHead+"2\r\nok\r\nzz\r\nok\r\n0\r\n\r\n", true), policy.StatusReset, false},
+		{"endless chunks", testkit.Flood(chunkedHead, "1\r\nx\r\n"), policy.StatusReset, false},
+		{"endless head", testkit.Flood("HTTP/1.1 200 OK\r\n", "X-Pad: pppp\r\n"), policy.StatusReset, false},
+		{"endless header line", testkit.Flood("HTTP/1.1 200 OK\r\nX-Pad: ", "pppp"), policy.StatusReset, false},
+		{"endless interim responses", testkit.Flood("", hint), policy.StatusReset, false},
+		{"served after many interim responses", reply(strings.Repeat(hint, 20)+ok, true), policy.StatusOK, true},
+		{"served with a duplicate after it", reply(ok+ok, true), policy.StatusOK, false},
+		{"length of 3 GB", reply("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nok", true), policy.StatusReset, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			endpoint := newTestEndpoint(t, testkit.NewServer(t, c.script).Address())
@@ -71,30 +72,30 @@
 				t.Errorf("got %+v, want status %d", result, c.want)
 			}
 			if result.Status == policy.StatusOK && string(result.Response.Body) != "ok" {
-				t.Errorf("body %q", result.Response.Body)
+				t.Errorf("got body %q, want \"ok\"", result.Response.Body)
 			}
 			open := endpoint.pool.openConnections.Load()
 			if (len(endpoint.idle) == 1) != c.reused || open != int64(len(endpoint.idle)) {
-				t.Errorf("%d idle, %d open", len(endpoint.idle), open)
+				t.Errorf("%d idle and %d open connections", len(endpoint.idle), open)
 			}
 		})
 	}
 }
 
-func TestReasonOfAnUnusableResponse(t *testing.T) {
+func TestUnusableResponseReturnsItsReason(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		want       error
 	}{
-		{"long body", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n", errResponseTooLong},
-		{"long head", "HTTP/1.1 200 OK\r\nX-Pad: " + strings.Repeat("p", MaxHeaderBytes), errResponseTooLong},
-		{"long chunk", chunkedHead + "10001\r\n" + strings.Repeat("x", MaxBodyBytes+1) + "\r\n0\r\n\r\n",
+		{"body too long", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n", errResponseTooLong},
+		{"head too long", "HTTP/1.1 200 OK\r\nX-Pad: " + strings.Repeat("p", MaxHeaderBytes), errResponseTooLong},
+		{"chunk too long", chunkedHead + "10001\r\n" + strings.Repeat("x", MaxBodyBytes+1) + "\r\n0\r\n\r\n",
 			errResponseTooLong},
-		{"many chunks", chunkedHead + strings.Repeat("1\r\nx\r\n", MaxBodyBytes), errResponseTooLong},
+		{"too many chunks", chunkedHead + strings.Repeat("1\r\nx\r\n", MaxBodyBytes), errResponseTooLong},
 		{"no length", "HTTP/1.1 200 OK\r\n\r\nok", errAmbiguousLength},
-		{"two lengths", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n",
+		{"Content-Length and Transfer-Encoding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n",
 			errAmbiguousLength},
-		{"half a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", io.ErrUnexpectedEOF},
+		{"incomplete body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", io.ErrUnexpectedEOF},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			server := testkit.NewServer(t, testkit.Reply(c.text, false))
@@ -103,8 +104,8 @@
 			if err := request.Write(connection.Conn); err != nil {
 				t.Fatal(err)
 			}
-			if _, keep, err := connection.readResponse(request); keep || !errors.Is(err, c.want) {
-				t.Errorf("keep %v, error %v, want %v", keep, err, c.want)
+			if _, keepAlive, err := connection.readResponse(request); keepAlive || !errors.Is(err, c.want) {
+				t.Errorf("got keepAlive %v and error %v, want error %v", keepAlive, err, c.want)
 			}
 		})
 	}
@@ -116,7 +117,7 @@
 		server := testkit.NewServer(t, testkit.Reply(reply, true))
 		result := newTestAttempt(newTestEndpoint(t, server.Address())).Do(newTestRequest())
 		if result.HasUsage != (want >= 0) || result.HasUsage && result.Usage != want {
-			t.Errorf("%q: %+v", text, result)
+			t.Errorf("usage %q: got %+v", text, result)
 		}
 	}
 }
