--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -23,41 +23,41 @@
 	dialTimeout            = time.Second
 	maxResponseHeaderBytes = 16 << 10
 
-	// watchTimeout is how long a watch may be silent: discovery writes an empty line every 2 s. A call without a
-	// response is given up after this time, too.
+	// watchTimeout is the time without data after which a watch, or a call without a response, is abandoned. Discovery
+	// sends an empty line every 2 s to keep a watch alive.
 	watchTimeout = 3500 * time.Millisecond
 )
 
-// Endpoint is an endpoint in the policy's form, with the address at which it is reached.
+// Endpoint is an endpoint in the policy's form, together with its network address.
 type Endpoint struct {
 	policy.Endpoint
 	Address string
 }
 
-// Update is a change of the endpoint list, or a complete list.
+// Update is a complete endpoint list or a change to it.
 type Update struct {
 	Kind      policy.UpdateKind
 	Endpoints []Endpoint
 }
 
-// Sink receives the updates of the endpoint list in their order.
+// Sink receives the updates of the endpoint list in order.
 type Sink interface {
-	// PublishEndpoints hands over an update. The channel is closed once the update is in force. The error says that
-	// the sink has not accepted the update.
+	// PublishEndpoints hands over an update. The returned channel is closed once the update has been applied. An error
+	// means that the sink has not accepted the update.
 	PublishEndpoints(ctx context.Context, update Update) (applied <-chan struct{}, err error)
 }
 
 // Options configures a Client.
 type Options struct {
 	Clock   clock.Clock
-	Address string   // of discovery, host and port
-	Zones   []string // the names of the zones; the policy numbers them in this order
+	Address string   // host and port of the discovery service
+	Zones   []string // zone names; the policy numbers the zones in this order
 	Pacing  Pacing
-	Seed    uint64 // for the random pauses before calls
+	Seed    uint64 // seeds the random pauses before calls
 }
 
-// Client follows the endpoint list of discovery. Its fields up to the mutex belong to the goroutine that calls
-// PublishCached and then Run.
+// Client keeps the endpoint list of a discovery service up to date. The fields above the mutex are used only by the
+// goroutine that calls PublishCached and then Run.
 type Client struct {
 	clock        clock.Clock
 	decoder      decoder
@@ -67,22 +67,22 @@
 	sink         Sink
 	http         http.Client
 
-	listURL     string    // where the list in force was obtained; "": there is none, or a change of it was missed
-	listVersion uint64    // the version of that list
-	lastError   string    // the error that was logged last; "": discovery has responded since
-	lastEnd     string    // why the last watch ended, as it was logged
-	lastHeardAt time.Time // when the last line of a watch arrived, or else when the present attempt began
+	listURL      string    // source of the current list; empty if there is no list or a change to it was lost
+	listVersion  uint64    // version of the current list
+	lastError    string    // last logged error; empty once discovery has responded
+	lastWatchEnd string    // last logged reason for the end of a watch
+	lastLineAt   time.Time // arrival of the last line of the watch; before the first, the start of the current attempt
 
 	firstResponse     chan struct{}
 	firstResponseOnce sync.Once
 
 	mu           sync.Mutex
-	url          string             // of discovery as it is configured now
-	migratedAt   time.Time          // when the migration to url was asked for; zero: there was none
-	cancelFollow context.CancelFunc // ends the present attempt, so that the next one uses url
+	url          string             // currently configured URL of the discovery service
+	migratedAt   time.Time          // when the migration to url was requested; zero if there was none
+	cancelFollow context.CancelFunc // ends the current attempt, so that the next one uses url
 }
 
-// NewClient returns a client that follows the list at the address in the options once Run is called.
+// NewClient returns a client that follows the list at options.Address once Run is called.
 func NewClient(options Options, sink Sink) *Client {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	return &Client{
@@ -103,16 +103,16 @@
 	}
 }
 
-// now returns the present time on both clocks.
-func (c *Client) now() moment { return moment{monotonic: c.clock.Now(), wall: time.Now()} }
+// now returns the current time on the monotonic clock and on the wall clock.
+func (c *Client) now() clockReading { return clockReading{monotonic: c.clock.Now(), wall: time.Now()} }
 
 func instancesURL(address string) string { return "http://" + address + instancesPath }
 
-// FirstResponse returns a channel that is closed when discovery has first answered.
+// FirstResponse returns a channel that is closed once discovery has responded for the first time.
 func (c *Client) FirstResponse() <-chan struct{} { return c.firstResponse }
 
-// Migrate makes the client follow discovery at another address from now on, as was asked for at the given time. The
-// endpoint list stays in force until the complete list has been read there.
+// Migrate makes the client follow the discovery service at another address. askedAt is when the migration was
+// requested. The current endpoint list stays in effect until the complete list has been read from the new address.
 func (c *Client) Migrate(address string, askedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,8 +122,9 @@
 	}
 }
 
-// PublishCached publishes the list that the configuration holds and waits until it is in force. It is called before
-// Run. An empty list is not published: the policy derives its first limits from the size of the first list.
+// PublishCached publishes the list stored in the configuration and waits until it has been applied. It must be called
+// before Run. An empty list is not published, because the policy derives its initial limits from the size of the first
+// list.
 func (c *Client) PublishCached(ctx context.Context, list EndpointList) {
 	if len(list.Servers) == 0 {
 		return
@@ -133,7 +134,7 @@
 	}
 	applied, err := c.sink.PublishEndpoints(ctx, c.decoder.update(c.now(), policy.UpdateCached, list))
 	if err != nil {
-		return // the sink or the context has ended, and the gateway with it
+		return // the sink or ctx has ended: the gateway is shutting down
 	}
 	select {
 	case <-applied:
@@ -142,9 +143,9 @@
 }
 
 // Run follows the list until ctx ends. Gateways that start at the same time, or whose watches break at the same time,
-// must not all call a shared discovery service at once: requests queue there until their callers have given up, and
-// then it is busy with abandoned requests for good. Each gateway therefore pauses before a call for a random time up
-// to a bound, which grows with the size of the fleet and with each failure.
+// must not all call a shared discovery service at once: their requests would queue there until the callers time out,
+// and the service would then stay busy with abandoned requests. Each gateway therefore pauses before a call for a
+// random time up to a bound that grows with the size of the fleet and with each failure.
 func (c *Client) Run(ctx context.Context) {
 	defer c.http.CloseIdleConnections()
 	backoff := c.pacing.initialBackoff
@@ -165,29 +166,29 @@
 			continue
 		case <-time.After(pause):
 		}
-		c.lastHeardAt = time.Now()
+		c.lastLineAt = time.Now()
 		if err := c.follow(followCtx, url); err != nil {
 			c.logFailure(followCtx, err)
-			pause = c.jitter(c.pacing.boundAfterFailure(backoff, time.Since(c.lastHeardAt)))
+			pause = c.jitter(c.pacing.boundAfterFailure(backoff, time.Since(c.lastLineAt)))
 		} else {
 			backoff, c.lastError = c.pacing.initialBackoff, ""
-			pause = c.jitter(c.pacing.boundAfterBreak(time.Since(c.lastHeardAt)))
+			pause = c.jitter(c.pacing.boundAfterBreak(time.Since(c.lastLineAt)))
 		}
 		backoff = c.pacing.nextBackoff(backoff)
 	}
 }
 
-// beginFollow returns the configured URL, when the migration to it was asked for, and a context that ends when the
-// client migrates to another one.
+// beginFollow begins an attempt. It returns the configured URL, the time at which the migration to it was requested,
+// and a context that ends when the client migrates to another URL.
 func (c *Client) beginFollow(ctx context.Context) (followCtx context.Context, url string, migratedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cancelFollow() // releases the context of the attempt before
+	c.cancelFollow() // releases the context of the previous attempt
 	followCtx, c.cancelFollow = context.WithCancel(ctx)
 	return followCtx, c.url, c.migratedAt
 }
 
-// jitter returns a random duration below the bound ("full jitter"), or 0 if the bound is 0.
+// jitter returns a random duration in [0, bound) ("full jitter"), or 0 if the bound is not positive.
 func (c *Client) jitter(bound time.Duration) time.Duration {
 	if bound <= 0 {
 		return 0
@@ -195,7 +196,7 @@
 	return time.Duration(c.random.Int64N(int64(bound)))
 }
 
-// logFailure logs an error unless it is the one that was logged last, or the attempt was cancelled.
+// logFailure logs an error unless it equals the last logged one or the attempt was cancelled.
 func (c *Client) logFailure(followCtx context.Context, err error) {
 	if followCtx.Err() != nil || err.Error() == c.lastError {
 		return
@@ -204,20 +205,19 @@
 	slog.Warn("discovery failed", "err", err)
 }
 
-// logWatchEnd logs why an established watch has ended, unless the one before ended in the same way, or the client has
-// ended it for a migration.
+// logWatchEnd counts the end of an established watch and logs its reason, unless that equals the last logged one.
 func (c *Client) logWatchEnd(ctx context.Context, reason error) {
 	counters.Count(counters.WatchEnded, "")
-	text := "ended by discovery"
+	text := "closed by discovery"
 	switch {
 	case reason != nil && ctx.Err() != nil && errors.Is(reason, context.Canceled):
-		text = "silent, or migrated"
+		text = "cancelled by a timeout, a migration or the shutdown"
 	case reason != nil:
 		text = reason.Error()
 	}
-	if text == c.lastEnd {
+	if text == c.lastWatchEnd {
 		return
 	}
-	c.lastEnd = text
+	c.lastWatchEnd = text
 	slog.Info("watch ended", "reason", text)
 }
--- a/internal/discovery/endpoint_ids.go
+++ b/internal/discovery/endpoint_ids.go
@@ -6,38 +6,39 @@
 	"springfield/policy"
 )
 
-// endpointIDs assigns the policy's numbers to the endpoints' names.
+// endpointIDs assigns the policy's numeric IDs to endpoint names.
 type endpointIDs struct {
-	byName map[string]policy.EndpointID
-	names  map[policy.EndpointID]string
+	idByName map[string]policy.EndpointID
+	nameByID map[policy.EndpointID]string
 }
 
 func newEndpointIDs() endpointIDs {
-	return endpointIDs{byName: map[string]policy.EndpointID{}, names: map[policy.EndpointID]string{}}
+	return endpointIDs{idByName: map[string]policy.EndpointID{}, nameByID: map[policy.EndpointID]string{}}
 }
 
-// assign returns the number of a name. It is a hash of the name, or the next number that is free: the policy ranks
-// endpoints by number, so the numbers should be the same in each run.
+// assign returns the ID of a name. A new ID is the hash of the name or, if another name has it, the next free number.
+// The policy ranks endpoints by ID, so an endpoint should have the same ID in every run.
 func (e *endpointIDs) assign(name string) policy.EndpointID {
-	if id, ok := e.byName[name]; ok {
+	if id, ok := e.idByName[name]; ok {
 		return id
 	}
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(name)) // never fails
 	id := policy.EndpointID(hash.Sum32())
-	for e.names[id] != "" {
+	for e.nameByID[id] != "" {
 		id++
 	}
-	e.byName[name], e.names[id] = id, name
+	e.idByName[name], e.nameByID[id] = id, name
 	return id
 }
 
-// releaseUnlisted forgets the endpoints that the update removes and, unless it is a delta, those that it does not list.
-// Otherwise the maps would grow as long as endpoints with new names appear. It returns the names.
+// releaseUnlisted releases the IDs of the endpoints that the update removes and, unless it is a delta, of those that it
+// does not list. Without this the maps would grow for as long as endpoints with new names appear. It returns the names
+// of the released endpoints.
 func (e *endpointIDs) releaseUnlisted(update Update) (names []string) {
 	unlisted := map[policy.EndpointID]bool{}
 	if update.Kind != policy.UpdateDelta {
-		for id := range e.names {
+		for id := range e.nameByID {
 			unlisted[id] = true
 		}
 	}
@@ -47,9 +48,9 @@
 	}
 	for id, release := range unlisted {
 		if release {
-			names = append(names, e.names[id])
-			delete(e.byName, e.names[id])
-			delete(e.names, id)
+			names = append(names, e.nameByID[id])
+			delete(e.idByName, e.nameByID[id])
+			delete(e.nameByID, id)
 		}
 	}
 	return names
--- a/internal/discovery/helper_test.go
+++ b/internal/discovery/helper_test.go
@@ -13,7 +13,7 @@
 
 const updateCapacity = 16
 
-// recordingSink keeps the updates for the test; they are in force at once.
+// recordingSink applies updates at once and keeps them for the test.
 type recordingSink struct {
 	updates chan Update
 }
@@ -38,14 +38,14 @@
 	return testkit.Receive(t, "an update", s.updates)
 }
 
-// newTestClient returns a client of an agent at the address.
+// newTestClient returns a client with the pacing for an agent at the address, and its sink.
 func newTestClient(address string) (*Client, *recordingSink) {
 	sink := newRecordingSink()
 	return NewClient(Options{Address: address, Pacing: PacingFor(&settings.Settings{}), Seed: 1}, sink), sink
 }
 
-// start runs the client until stop is called; stop returns once Run has.
-func start(t *testing.T, client *Client) (stop func()) {
+// runClient runs the client until stop is called. stop returns once Run has returned.
+func runClient(t *testing.T, client *Client) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -57,14 +57,14 @@
 	}
 }
 
-// startForTest runs the client until the end of the test.
-func startForTest(t *testing.T, client *Client) {
+// runClientForTest runs the client until the end of the test.
+func runClientForTest(t *testing.T, client *Client) {
 	t.Helper()
-	stop := start(t, client)
+	stop := runClient(t, client)
 	t.Cleanup(stop)
 }
 
-// newServer starts a discovery service that a handler scripts.
+// newServer starts a discovery service that responds as the handler does.
 func newServer(t *testing.T, handler http.HandlerFunc) (address string) {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -74,7 +74,7 @@
 
 func isWatch(request *http.Request) bool { return request.URL.Query().Get("watch") != "" }
 
-// write writes text to a client that may be gone.
-func write(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
+// writeText writes text to a client that may have disconnected.
+func writeText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
 func flush(w http.ResponseWriter) { w.(http.Flusher).Flush() }
--- a/internal/discovery/json_lines.go
+++ b/internal/discovery/json_lines.go
@@ -1,17 +1,17 @@
 package discovery
 
-// objectReader assembles a JSON object from lines of text. Discovery usually writes an object on one line, but may
-// also indent it over many. The reader only counts brackets; whether the text is valid JSON is left to the decoder.
+// objectReader assembles a JSON object from lines of text. Discovery usually writes an object on one line but may
+// indent it over several. The reader only counts brackets; the decoder checks whether the text is valid JSON.
 type objectReader struct {
 	text     []byte
-	depth    int  // of open brackets
-	inString bool // after an opening quote
-	escaped  bool // after a backslash in a string
+	depth    int  // number of open brackets
+	inString bool // inside a string literal
+	escaped  bool // the previous byte was a backslash in a string literal
 }
 
-// addLine appends a line and reports whether the object has ended, completely or not. Besides the last closing bracket,
-// these end it: a line that ends in a string, an empty line, because indented text contains none, and text of more than
-// maxBytes.
+// addLine appends a line and reports whether the object has ended, complete or not. An object ends with its last
+// closing bracket, with a line that ends inside a string literal, with an empty line (indented JSON contains none), or
+// when its text exceeds maxBytes.
 func (o *objectReader) addLine(line []byte, maxBytes int) (ended bool) {
 	for _, char := range line {
 		o.addByte(char)
@@ -36,10 +36,10 @@
 	}
 }
 
-// empty reports whether no line has been added since the last object.
+// empty reports whether no line has been added since the last call of take.
 func (o *objectReader) empty() bool { return len(o.text) == 0 }
 
-// take returns the text of the object and begins the next one.
+// take returns the text of the object and resets the reader for the next one.
 func (o *objectReader) take() []byte {
 	text := o.text
 	*o = objectReader{}
--- a/internal/discovery/json_lines_test.go
+++ b/internal/discovery/json_lines_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// The reader must find the last line of an object that is indented over several lines, and must not wait forever for
+// the end of an incomplete or invalid one.
 func TestObjectReaderFindsTheEndOfAnObject(t *testing.T) {
 	const maxBytes = 40
 	for text, want := range map[string][]bool{ // whether the object has ended after each line
@@ -24,7 +26,7 @@
 			}
 		}
 		if got := string(object.take()); got != text+"\n" || !object.empty() {
-			t.Errorf("%q: took %q", text, got)
+			t.Errorf("%q: took %q, want all lines", text, got)
 		}
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -9,15 +9,15 @@
 )
 
 var (
-	errNoServers   = errors.New("the list has no field \"servers\"")
-	errNotComplete = errors.New("the list is not complete")
+	errMissingServers = errors.New("endpoint list has no \"servers\" field")
+	errNotFullList    = errors.New("endpoint list is not complete")
 )
 
-// EndpointList is a list of endpoints in the JSON form of discovery and of the configuration: the complete list, or the
-// entries that have changed.
+// EndpointList is a list of endpoints in the JSON form that discovery and the configuration use: the complete list, or
+// only the entries that have changed.
 type EndpointList struct {
 	Version uint64
-	Full    bool // the list is complete
+	Full    bool // the list is complete, not a change
 	Servers []Instance
 }
 
@@ -26,26 +26,26 @@
 	ID, Addr, Zone, State string
 	Cell                  int
 	Weight                float64
-	StartedMS             int64 `json:"started_ms"` // Unix time in milliseconds; 0: long ago
+	StartedMS             int64 `json:"started_ms"` // Unix time in milliseconds; 0 means long ago
 }
 
-// The states of an instance that the client distinguishes. Any other state, such as "draining", means that the
-// endpoint completes its requests and gets no new ones.
+// Instance states that the client distinguishes. In any other state, such as "draining", an endpoint completes its
+// requests and gets no new ones.
 const (
 	stateUp      = "up"
 	stateRemoved = "removed"
 )
 
-// validate rejects a list without servers, as opposed to an empty one: taken for the complete list, it would leave the
-// gateway without endpoints.
+// validate rejects a list in which the servers field is missing or null. An empty field is valid. A list without the
+// field, if treated as complete, would leave the gateway without endpoints.
 func (l *EndpointList) validate() error {
 	if l.Servers == nil {
-		return errNoServers
+		return errMissingServers
 	}
 	return nil
 }
 
-// valid reports whether an entry names the endpoint and, unless it has been removed, its address.
+// valid reports whether an entry has an ID and, unless the endpoint has been removed, an address.
 func (i *Instance) valid() bool {
 	return i.ID != "" && (i.Addr != "" || i.State == stateRemoved)
 }
@@ -61,7 +61,7 @@
 	}
 }
 
-// decoder converts lists from their JSON form into the policy's form.
+// decoder converts lists from their JSON form to the policy's form.
 type decoder struct {
 	zones  []string
 	ids    endpointIDs
@@ -72,9 +72,9 @@
 	return decoder{zones: zones, ids: newEndpointIDs(), starts: newStartTimes()}
 }
 
-// update converts a list that has arrived at the given time. Invalid entries are skipped. The numbers of endpoints that
-// are no longer listed are released.
-func (d *decoder) update(now moment, kind policy.UpdateKind, list EndpointList) Update {
+// update converts a list that was received at the given time. It skips invalid entries and releases the IDs of
+// endpoints that are no longer listed.
+func (d *decoder) update(now clockReading, kind policy.UpdateKind, list EndpointList) Update {
 	update := Update{Kind: kind}
 	for i := range list.Servers {
 		instance := &list.Servers[i]
@@ -94,14 +94,15 @@
 		})
 	}
 	for _, name := range d.ids.releaseUnlisted(update) {
-		d.starts.unlist(now.monotonic, name)
+		d.starts.markUnlisted(now.monotonic, name)
 	}
-	d.starts.forget(now.monotonic)
+	d.starts.expireUnlisted(now.monotonic)
 	return update
 }
 
-// startedAt returns when an endpoint has started. Of one that is removed that is of no account.
-func (d *decoder) startedAt(now moment, instance *Instance) time.Duration {
+// startedAt returns when an endpoint started, on the monotonic clock. The start of a removed endpoint is irrelevant and
+// is returned as 0.
+func (d *decoder) startedAt(now clockReading, instance *Instance) time.Duration {
 	if instance.State == stateRemoved {
 		return 0
 	}
--- a/internal/discovery/pacing_test.go
+++ b/internal/discovery/pacing_test.go
@@ -8,8 +8,9 @@
 	"springfield/internal/settings"
 )
 
-// newFleetClient returns the client of one gateway of a fleet, which has a list of the discovery of the given kind.
-func newFleetClient(kind string, gateways, index int, pollWithinMS float64) *Client {
+// newFleetClientWithPollLimit returns the client of one gateway of a fleet. The client has a list, and kind is the
+// value of the setting Discovery.
+func newFleetClientWithPollLimit(kind string, gateways, index int, pollWithinMS float64) *Client {
 	s := settings.Settings{Discovery: kind, Balancers: gateways}
 	s.Safety.AskWithinMs = pollWithinMS
 	client := NewClient(Options{Address: "127.0.0.1:1", Pacing: PacingFor(&s), Seed: uint64(index)}, nil)
@@ -17,20 +18,20 @@
 	return client
 }
 
-func fleetClient(kind string, gateways, index int) *Client {
-	return newFleetClient(kind, gateways, index, 10_000)
+func newFleetClient(kind string, gateways, index int) *Client {
+	return newFleetClientWithPollLimit(kind, gateways, index, 10_000)
 }
 
 func (c *Client) startPause() time.Duration { return c.jitter(c.pacing.boundAtStart(c.listURL != "")) }
 
 func (c *Client) migrationPause() time.Duration { return c.jitter(c.pacing.boundAtMigration(0)) }
 
-// What a broken watch misses counts as notified 6 s after it broke, which may be right after its last line. The
-// silence, the pause and the time for the call have to fit in.
+// A gateway is treated as notified of a change that a broken watch missed 6 s after the watch broke, which may be right
+// after its last line. The silence, the pause and the call must fit within that time.
 func TestBrokenWatchIsReopenedInTime(t *testing.T) {
 	for _, kind := range []string{"pushed", polledDiscovery} {
 		for i := range 300 {
-			client := fleetClient(kind, 300, i)
+			client := newFleetClient(kind, 300, i)
 			for _, silence := range []time.Duration{0, 2 * time.Second, watchTimeout} {
 				pause := client.jitter(client.pacing.boundAfterBreak(silence))
 				if silence+pause > 5500*time.Millisecond {
@@ -38,24 +39,23 @@
 				}
 			}
 			if bound := client.pacing.boundAfterBreak(time.Hour); bound <= 0 {
-				t.Fatalf("a bound of %v", bound)
+				t.Fatalf("got a bound of %v, want a positive one", bound)
 			}
 		}
 	}
 }
 
-// A change counts as notified 6 s after discovery had it and could be reached, whatever calls failed before. Discovery
-// may be back right after the begin of a call that is refused, rejected, has no connection or hangs until it is given
-// up, or right after the begin of the pause that follows; half a second is left for the call that succeeds. At a new
-// address there are 4 s.
+// A gateway is treated as notified of a change 6 s after discovery had it and was reachable, whatever calls failed
+// before. Discovery may become reachable right after the start of a call that fails or hangs, or of the pause that
+// follows, and the successful call takes up to half a second. After a migration the limit is 4 s.
 func TestDiscoveryIsCalledInTimeAfterFailures(t *testing.T) {
 	for _, kind := range []string{"pushed", polledDiscovery} {
 		for _, gateways := range []int{1, 20, 300, 3000} {
 			for _, pollWithinMS := range []float64{0, 1500, 10_000, 120_000} {
 				for i := range 20 {
-					client := newFleetClient(kind, gateways, i, pollWithinMS)
+					client := newFleetClientWithPollLimit(kind, gateways, i, pollWithinMS)
 					if err := checkNotifiedInTime(client); err != nil {
-						t.Fatalf("%s, gateway %d of %d, to poll within %v ms: %v", kind, i, gateways, pollWithinMS, err)
+						t.Fatalf("%s, gateway %d of %d with a poll limit of %v ms: %v", kind, i, gateways, pollWithinMS, err)
 					}
 				}
 			}
@@ -63,16 +63,16 @@
 	}
 }
 
-// checkNotifiedInTime reports the first pause of a client that is too long.
+// checkNotifiedInTime returns an error for the first pause of a client that is too long.
 func checkNotifiedInTime(client *Client) error {
 	const callDuration = 500 * time.Millisecond
-	if first := client.startPause() + callDuration; first > notifiedAfter {
+	if first := client.startPause() + callDuration; first > notificationDeadline {
 		return fmt.Errorf("first notified %v after its start", first)
 	}
 	if migrated := client.migrationPause() + callDuration; migrated > 4*time.Second {
 		return fmt.Errorf("notified %v after its migration", migrated)
 	}
-	const rereads = 2 * time.Second // of a configuration that is being written
+	const rereads = 2 * time.Second // time for rereading a configuration that is being written
 	if migrated := rereads + client.pacing.boundAtMigration(rereads) + callDuration; migrated > 3*time.Second {
 		return fmt.Errorf("notified %v after a migration whose configuration was read late", migrated)
 	}
@@ -80,7 +80,7 @@
 	for failure := range 12 {
 		for _, failed := range []time.Duration{0, 20 * time.Millisecond, time.Second, watchTimeout} {
 			bound := client.pacing.boundAfterFailure(backoff, failed)
-			if notified := failed + bound + callDuration; bound <= 0 || notified > notifiedAfter {
+			if notified := failed + bound + callDuration; bound <= 0 || notified > notificationDeadline {
 				return fmt.Errorf("failure %d after %v: a pause of up to %v, notified after %v", failure, failed, bound, notified)
 			}
 		}
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// The calls of a fleet while a shared discovery is down, and when it returns or moves, are spread over the pauses,
-// however long the outage: no tenth of a second gets more than an eighth of them.
+// While a shared discovery service is down, and when it returns or moves, the calls of the fleet must be spread over
+// the pauses, however long the outage was. No tenth of a second may get more than an eighth of the calls.
 func TestCallsAfterAnOutageAreSpreadOut(t *testing.T) {
 	const gateways = 350
 	for name, pause := range map[string]func(*Client) time.Duration{
@@ -105,7 +105,7 @@
 		const slotDuration = 100 * time.Millisecond
 		slots := map[time.Duration]int{}
 		for i := range gateways {
-			slots[pause(fleetClient(polledDiscovery, gateways, i))/slotDuration]++
+			slots[pause(newFleetClient(polledDiscovery, gateways, i))/slotDuration]++
 		}
 		for slot, calls := range slots {
 			if calls > gateways/8 {
@@ -115,8 +115,8 @@
 	}
 }
 
-// What an agent receives counts as notified at once, so a pause may not exceed the drain grace of the settings,
-// however many calls have failed.
+// A gateway is treated as notified at once of what its agent receives. A pause must therefore not exceed the drain
+// grace of the settings, however many calls have failed.
 func TestAgentIsCalledWithinTheDrainGrace(t *testing.T) {
 	for _, graceMS := range []float64{0, 100, 600, 3000} {
 		var s settings.Settings
@@ -129,13 +129,13 @@
 	}
 }
 
-// A fleet that starts at once, or whose watches break at once, must not call a shared discovery at once. Yet each
-// gateway has to call before it counts as notified, also after failures.
+// A fleet that starts at once, or whose watches break at once, must not call a shared discovery service all at once.
+// Each gateway must still call before it is treated as notified, also after failures.
 func TestCallsToASharedDiscoveryAreSpreadOverTheFleet(t *testing.T) {
 	for _, gateways := range []int{80, 300, 3000} {
 		early, longestFirst, longestRetry := 0, time.Duration(0), time.Duration(0)
 		for i := range gateways {
-			client := fleetClient(polledDiscovery, gateways, i)
+			client := newFleetClient(polledDiscovery, gateways, i)
 			first := client.startPause()
 			if first < time.Second {
 				early++
@@ -143,7 +143,8 @@
 			longestFirst = max(longestFirst, first)
 			longestRetry = max(longestRetry, client.jitter(client.pacing.maxBackoff))
 		}
-		// A second's part of the calls is a sixth of 80, spread over 6 s, and an eighth of more.
+		// One second gets a sixth of the calls of 80 gateways, which are spread over 6 s, and an eighth of those of larger
+		// fleets.
 		if early < gateways/20 || early > gateways/3 {
 			t.Errorf("%d of %d gateways call in the first second", early, gateways)
 		}
@@ -154,11 +155,11 @@
 	}
 }
 
-// An agent on the same machine answers at once, and what it has counts as notified: however large the fleet, a gateway
-// that waited there would send requests to endpoints that drain.
-func TestAgentIsCalledAtOnce(t *testing.T) {
+// A gateway is treated as notified of what its agent has. However large the fleet, a gateway that paused before calling
+// its agent would send requests to draining endpoints.
+func TestAgentIsCalledWithoutPause(t *testing.T) {
 	for i := range 300 {
-		client := fleetClient("pushed", 300, i)
+		client := newFleetClient("pushed", 300, i)
 		if first, retry := client.startPause(), client.jitter(client.pacing.maxBackoff); first != 0 || retry > time.Second {
 			t.Fatalf("gateway %d of 300 calls its agent after %v, and after failures again after %v", i, first, retry)
 		}
--- a/internal/discovery/transfer_test.go
+++ b/internal/discovery/transfer_test.go
@@ -16,22 +16,22 @@
 	"springfield/policy"
 )
 
-// scriptedDiscovery is a discovery service on connections in memory, for tests on virtual time. It writes texts with a
-// pause before each.
+// scriptedDiscovery is a discovery service on in-memory connections, for tests on virtual time. It writes the texts of
+// a response with a delay before each.
 type scriptedDiscovery struct {
-	list  []pausedText // the response to a call for the complete list
-	watch []pausedText // the response to a watch, which stays open
-	calls chan string  // gets the query of each call
+	list  []delayedText // response to a call for the complete list
+	watch []delayedText // response to a watch, which stays open
+	calls chan string   // receives the query of each call
 
 	serving sync.WaitGroup
 }
 
-type pausedText struct {
+type delayedText struct {
 	pause time.Duration
 	text  string
 }
 
-// dial connects to the service. It has the signature of http.Transport.DialContext.
+// dial opens a connection to the service. It has the signature of http.Transport.DialContext.
 func (d *scriptedDiscovery) dial(context.Context, string, string) (net.Conn, error) {
 	client, server := net.Pipe()
 	d.serving.Go(func() { d.serve(server) })
@@ -39,7 +39,7 @@
 }
 
 func (d *scriptedDiscovery) serve(conn net.Conn) {
-	defer func() { _ = conn.Close() }() // fails when the client has closed it
+	defer func() { _ = conn.Close() }() // fails if the client has closed the pipe
 	buffer := make([]byte, 4<<10)
 	n, err := conn.Read(buffer)
 	if err != nil {
@@ -61,7 +61,7 @@
 	_, _ = conn.Read(buffer) // returns once the client has closed the connection
 }
 
-// newScriptedClient returns a client of the service. It must have stopped by the end of the test.
+// newScriptedClient returns a client of the service. The client must have stopped by the end of the test.
 func newScriptedClient(t *testing.T, service *scriptedDiscovery) (*Client, *recordingSink) {
 	t.Helper()
 	t.Cleanup(service.serving.Wait)
@@ -73,48 +73,48 @@
 
 const listHead = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 
-// piecewise returns a response with one endpoint that arrives in parts.
-func piecewise(parts int, pause time.Duration, version int, full bool) (list []pausedText) {
+// splitResponse returns a response that lists one endpoint, split into parts with a pause before each.
+func splitResponse(parts int, pause time.Duration, version int, full bool) (list []delayedText) {
 	text := testkit.EndpointListJSON(version, full, testkit.EndpointLine("a", "127.0.0.1:1", "up", 0)) + "\n"
-	list = append(list, pausedText{text: listHead})
+	list = append(list, delayedText{text: listHead})
 	for i := range parts {
 		from, to := len(text)*i/parts, len(text)*(i+1)/parts
-		list = append(list, pausedText{pause: pause, text: text[from:to]})
+		list = append(list, delayedText{pause: pause, text: text[from:to]})
 	}
 	return list
 }
 
-// A list that arrives slowly is read, however long it takes in all: only silence ends a call. A list that took longer
-// than the time for silence was once cut at each attempt.
+// A list that arrives slowly must be read, however long it takes: only silence ends a call. A time limit on the whole
+// transfer once cut off such a list at each attempt.
 func TestSlowListIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const parts, pause = 9, 500 * time.Millisecond
-		service := &scriptedDiscovery{list: piecewise(parts, pause, 7, true), calls: make(chan string, 100)}
+		service := &scriptedDiscovery{list: splitResponse(parts, pause, 7, true), calls: make(chan string, 100)}
 		client, sink := newScriptedClient(t, service)
 		began := time.Now()
-		startForTest(t, client)
+		runClientForTest(t, client)
 		update := sink.next(t)
 		if took := time.Since(began); len(update.Endpoints) != 1 || took != parts*pause {
-			t.Errorf("got %+v after %v", update, took)
+			t.Errorf("got update %+v after %v", update, took)
 		}
 		<-service.calls
 		if query := <-service.calls; query != "watch=1&after=7" {
-			t.Errorf("then called with %q", query)
+			t.Errorf("the next call has the query %q, want a watch from version 7", query)
 		}
 	})
 }
 
-// A change that arrives slowly is read as well.
+// A change that arrives slowly must be read, however long it takes, without a new call.
 func TestSlowChangeIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const parts, pause = 9, 500 * time.Millisecond
 		service := &scriptedDiscovery{
-			list:  piecewise(1, 0, 7, true),
-			watch: piecewise(parts, pause, 8, false),
+			list:  splitResponse(1, 0, 7, true),
+			watch: splitResponse(parts, pause, 8, false),
 			calls: make(chan string, 100),
 		}
 		client, sink := newScriptedClient(t, service)
-		startForTest(t, client)
+		runClientForTest(t, client)
 		sink.next(t)
 		if update := sink.next(t); update.Kind != policy.UpdateDelta || len(update.Endpoints) != 1 {
 			t.Errorf("got %+v", update)
@@ -125,22 +125,22 @@
 	})
 }
 
-// A list that stops in the middle is given up after the time for silence. Since what it would have told counts as
-// notified 6 s after the call began, the next call follows at once then.
-func TestListThatStopsIsGivenUp(t *testing.T) {
+// A list that stops in the middle must be abandoned after the silence timeout. The next call must follow with almost
+// no pause, because the gateway is treated as notified of the list 6 s after the first call began.
+func TestStalledListCallIsAbandonedAndRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const parts, pause = 4, time.Second
-		list := piecewise(parts, pause, 7, true)
+		list := splitResponse(parts, pause, 7, true)
 		service := &scriptedDiscovery{list: list[:parts], calls: make(chan string, 100)}
 		client, _ := newScriptedClient(t, service)
-		startForTest(t, client)
+		runClientForTest(t, client)
 		<-service.calls
 		began := time.Now()
 		<-service.calls
 		const lastByteAfter = (parts - 1) * pause
 		const earliest = lastByteAfter + watchTimeout
 		if took := time.Since(began); took < earliest || took > earliest+minInitialBackoff {
-			t.Errorf("called again after %v", took)
+			t.Errorf("called again after %v, want the silence timeout and a short pause", took)
 		}
 	})
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -13,11 +13,11 @@
 	"springfield/policy"
 )
 
-// Each line of an indented list alone is not JSON; a watch may deliver such lists, too.
+// A watch may deliver an indented change. None of its lines is valid JSON by itself, so the lines must be assembled.
 func TestIndentedChangeIsRead(t *testing.T) {
 	registry := testkit.NewRegistry(t)
 	client, sink := newTestClient(registry.Address())
-	startForTest(t, client)
+	runClientForTest(t, client)
 	sink.next(t)
 	watch := testkit.Receive(t, "the watch", registry.Watches)
 	watch <- "{\n  \"version\": 2,\n  \"full\": false,\n  \"servers\": [\n    {\n      \"id\": \"}{\\\"[\",\n" +
@@ -25,19 +25,19 @@
 	update := sink.next(t)
 	if update.Kind != policy.UpdateDelta || len(update.Endpoints) != 1 ||
 		update.Endpoints[0].State != policy.StateDraining {
-		t.Errorf("%+v", update)
+		t.Errorf("got %+v, want one draining endpoint", update)
 	}
 	watch <- `{"version":3,"full":false,"servers":[{"id":"b","addr":"127.0.0.1:2","state":"up"}]}`
 	if update := sink.next(t); len(update.Endpoints) != 1 || update.Endpoints[0].State != policy.StateReady {
-		t.Errorf("then %+v", update)
+		t.Errorf("after the indented change: got %+v, want one ready endpoint", update)
 	}
 }
 
-// A change that arrives in part is lost: the complete list is fetched, whether an empty line follows, the watch ends,
-// or it falls silent.
-func TestPartialChangeLeadsToFullList(t *testing.T) {
+// A change that arrives incomplete is lost. The complete list must be fetched next, whether an empty line follows, the
+// watch ends, or it falls silent.
+func TestIncompleteChangeLeadsToFullList(t *testing.T) {
 	for name, test := range map[string]struct {
-		after        string // sent after the part
+		after        string // sent after the incomplete change
 		staysOpen    bool
 		watchTimeout time.Duration
 	}{
@@ -50,65 +50,66 @@
 			address := newServer(t, func(w http.ResponseWriter, request *http.Request) {
 				if !isWatch(request) {
 					calls <- "list"
-					write(w, `{"version":9,"full":true,"servers":[]}`)
+					writeText(w, `{"version":9,"full":true,"servers":[]}`)
 					return
 				}
 				calls <- "watch"
-				write(w, "{\"version\":10,\n\"servers\":[{\"id\":")
+				writeText(w, "{\"version\":10,\n\"servers\":[{\"id\":")
 				if test.staysOpen {
-					write(w, test.after)
+					writeText(w, test.after)
 					flush(w)
 					<-request.Context().Done()
 				}
 			})
 			client, _ := newTestClient(address)
 			client.watchTimeout = test.watchTimeout
-			startForTest(t, client)
+			runClientForTest(t, client)
 			for i, want := range []string{"list", "watch", "list", "watch"} {
 				if got := testkit.Receive(t, "a call", calls); got != want {
-					t.Errorf("call %d is for a %s, want a %s", i, got, want)
+					t.Errorf("call %d requests a %s, want a %s", i, got, want)
 				}
 			}
 		})
 	}
 }
 
-// A watch that has delivered something and then falls silent is opened again, from the version it came to.
-func TestSilentWatchIsRenewedFromItsVersion(t *testing.T) {
+// A watch that falls silent after a change must be opened again from the version of that change.
+func TestSilentWatchResumesFromItsVersion(t *testing.T) {
 	versions := make(chan string, 100)
 	address := newServer(t, func(w http.ResponseWriter, request *http.Request) {
 		if !isWatch(request) {
-			write(w, `{"version":9,"full":true,"servers":[]}`)
+			writeText(w, `{"version":9,"full":true,"servers":[]}`)
 			return
 		}
 		versions <- request.URL.Query().Get("after")
-		write(w, `{"version":12,"full":false,"servers":[]}`+"\n\n")
+		writeText(w, `{"version":12,"full":false,"servers":[]}`+"\n\n")
 		flush(w)
 		<-request.Context().Done()
 	})
 	client, _ := newTestClient(address)
 	client.watchTimeout = 50 * time.Millisecond
-	startForTest(t, client)
+	runClientForTest(t, client)
 	for _, want := range []string{"9", "12", "12"} {
 		if got := testkit.Receive(t, "a watch", versions); got != want {
-			t.Errorf("from %s, want %s", got, want)
+			t.Errorf("watch from version %s, want %s", got, want)
 		}
 	}
 }
 
-// A watch that delivers nothing is dead even if its connection is open.
+// A watch that delivers nothing must be renewed even if its connection is still open.
 func TestSilentWatchIsRenewed(t *testing.T) {
 	registry := testkit.NewRegistry(t)
 	client, _ := newTestClient(registry.Address())
 	client.watchTimeout = 100 * time.Millisecond
-	startForTest(t, client)
+	runClientForTest(t, client)
 	for range 3 {
 		testkit.Receive(t, "a new watch", registry.Watches)
 	}
 }
 
-// Each line, also an empty one, restarts the time limit for silence, and nothing else does.
-func TestKeepAliveLinesKeepAWatchOpen(t *testing.T) {
+// Each line of a watch, including an empty one, must restart the silence timer, which must fire once no more lines
+// arrive. lastLineAt must be the arrival of the last line.
+func TestKeepAliveLinesRestartTheSilenceTimer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const keepAliveInterval = 2 * time.Second
 		client, _ := newTestClient("127.0.0.1:1")
@@ -118,13 +119,13 @@
 		ended := make(chan struct{})
 		go func() {
 			if err := client.readChanges(t.Context(), client.url, body, timer); err != nil {
-				t.Errorf("the watch ended with %v", err)
+				t.Errorf("the watch ended with error %v", err)
 			}
 			close(ended)
 		}()
 		for range 10 {
 			time.Sleep(keepAliveInterval)
-			write(lines, "\n")
+			writeText(lines, "\n")
 		}
 		lastLineAt := time.Now()
 		select {
@@ -134,40 +135,40 @@
 		}
 		<-silent
 		if took := time.Since(lastLineAt); took != watchTimeout {
-			t.Errorf("timed out after %v", took)
+			t.Errorf("timed out %v after the last line, want the watch timeout", took)
 		}
 		if err := lines.Close(); err != nil {
 			t.Error(err)
 		}
 		<-ended
-		if !client.lastHeardAt.Equal(lastLineAt) {
-			t.Errorf("last line noted at %v, written at %v", client.lastHeardAt, lastLineAt)
+		if !client.lastLineAt.Equal(lastLineAt) {
+			t.Errorf("last line recorded at %v, written at %v", client.lastLineAt, lastLineAt)
 		}
 	})
 }
 
-// Full lists for many gateways at once keep discovery too busy to answer any. A gateway that has a list asks for what
-// has changed since, and for the full list only when a change is lost.
+// Requests for complete lists by many gateways at once overload discovery. A gateway that has a list must request only
+// later changes, and the complete list only when a change is lost.
 func TestCachedListIsWatchedFromItsVersion(t *testing.T) {
 	calls, lines := make(chan string, 100), make(chan string, 1)
 	address := newServer(t, func(w http.ResponseWriter, request *http.Request) {
 		calls <- request.URL.RawQuery
 		if !isWatch(request) {
-			write(w, testkit.EndpointListJSON(9, true, testkit.EndpointLine("c", "127.0.0.1:3", "up", 0)))
+			writeText(w, testkit.EndpointListJSON(9, true, testkit.EndpointLine("c", "127.0.0.1:3", "up", 0)))
 			return
 		}
-		write(w, <-lines+"\n")
+		writeText(w, <-lines+"\n")
 	})
 	client, sink := newTestClient(address)
 	client.PublishCached(t.Context(), EndpointList{Version: 41, Full: true,
 		Servers: []Instance{{ID: "a", Addr: "127.0.0.1:1", State: "up"}}})
 	if update := sink.next(t); update.Kind != policy.UpdateCached || len(update.Endpoints) != 1 {
-		t.Errorf("cached list: %+v", update)
+		t.Errorf("cached list: got %+v", update)
 	}
-	startForTest(t, client)
+	runClientForTest(t, client)
 	for _, call := range []struct{ query, line string }{
 		{"watch=1&after=41", testkit.EndpointListJSON(42, false, testkit.EndpointLine("b", "127.0.0.1:2", "up", 0))},
-		{"watch=1&after=42", `{"version":43,"full":fal`}, // ends in the middle: what changed is lost
+		{"watch=1&after=42", `{"version":43,"full":fal`}, // an incomplete change, which is lost
 		{"", ""},
 		{"watch=1&after=9", ""},
 	} {
@@ -180,7 +181,7 @@
 	}
 }
 
-// An invalid list or change does not replace the list in force.
+// An invalid list or change must not replace the current list.
 func TestInvalidListsAreNotPublished(t *testing.T) {
 	valid := testkit.EndpointListJSON(7, true, testkit.EndpointLine("a", "127.0.0.1:1", "up", 0))
 	for _, invalid := range []string{
@@ -192,49 +193,50 @@
 			thirdList := make(chan struct{})
 			address := newServer(t, func(w http.ResponseWriter, request *http.Request) {
 				if isWatch(request) {
-					write(w, invalid+"\n")
+					writeText(w, invalid+"\n")
 					return
 				}
 				switch lists.Add(1) {
 				case 1:
-					write(w, valid)
+					writeText(w, valid)
 				case 2:
-					write(w, invalid)
+					writeText(w, invalid)
 				case 3:
 					close(thirdList)
 				}
 			})
 			client, sink := newTestClient(address)
-			stop := start(t, client)
+			stop := runClient(t, client)
 			testkit.WaitFor(t, "a third call for the list", thirdList)
 			stop()
 			if count := len(sink.updates); count != 1 {
-				t.Errorf("%d updates, want 1", count)
+				t.Errorf("got %d updates, want 1", count)
 			}
-			if update := sink.next(t); len(update.Endpoints) != 1 || len(client.decoder.ids.byName) != 1 {
-				t.Errorf("first %+v, then names %v", update, client.decoder.ids.byName)
+			if update := sink.next(t); len(update.Endpoints) != 1 || len(client.decoder.ids.idByName) != 1 {
+				t.Errorf("got %+v with IDs %v, want the valid list", update, client.decoder.ids.idByName)
 			}
 		})
 	}
 }
 
-// A partial list in place of the complete one is an error, and so is a status other than 200.
+// follow must return an error for a change in place of the complete list, for a list without servers, and for a status
+// other than 200.
 func TestFollowReportsFailedCalls(t *testing.T) {
 	for body, want := range map[string]string{
-		`{"version":8,"full":false,"servers":[]}`: errNotComplete.Error(),
-		`{"version":8,"full":true}`:               errNoServers.Error(),
+		`{"version":8,"full":false,"servers":[]}`: errNotFullList.Error(),
+		`{"version":8,"full":true}`:               errMissingServers.Error(),
 		``:                                        "503 Service Unavailable",
 	} {
 		address := newServer(t, func(w http.ResponseWriter, _ *http.Request) {
 			if body == "" {
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
-			write(w, body)
+			writeText(w, body)
 		})
 		client, sink := newTestClient(address)
 		err := client.follow(t.Context(), client.url)
 		if err == nil || !strings.Contains(err.Error(), want) || client.listURL != "" || len(sink.updates) != 0 {
-			t.Errorf("%s: error %v, want %q; list from %q", body, err, want, client.listURL)
+			t.Errorf("response %s: got error %v, want %q; list from %q", body, err, want, client.listURL)
 		}
 	}
 }
