--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -40,7 +40,7 @@
 		t.Errorf("got %+v, want the complete list of the new address", update)
 	}
 	ids := &client.decoder.ids
-	if len(ids.idByName) != 1 || len(ids.nameByID) != 1 {
+	if len(ids.idByName) != 1 || len(ids.names) != 1 {
 		t.Errorf("the ID of the old endpoint is not released: %v", ids.idByName)
 	}
 	watch := testkit.Receive(t, "a watch", target.Watches)
@@ -71,14 +71,14 @@
 func TestPublishCachedWaitsUntilListIsApplied(t *testing.T) {
 	list := EndpointList{Version: 3, Full: true, Servers: []Instance{{ID: "a", Addr: "127.0.0.1:1", State: "up"}}}
 	sink := newManualSink()
-	var applied atomic.Bool
+	var isApplied atomic.Bool
 	go func() {
 		<-sink.published
-		applied.Store(true)
+		isApplied.Store(true)
 		close(sink.applied)
 	}()
 	NewClient(Options{}, sink).PublishCached(t.Context(), list)
-	if !applied.Load() {
+	if !isApplied.Load() {
 		t.Error("returned before the list was applied")
 	}
 
--- a/internal/discovery/endpoint_ids.go
+++ b/internal/discovery/endpoint_ids.go
@@ -9,11 +9,11 @@
 // endpointIDs assigns the policy's numeric IDs to endpoint names.
 type endpointIDs struct {
 	idByName map[string]policy.EndpointID
-	nameByID map[policy.EndpointID]string
+	names    map[policy.EndpointID]string
 }
 
 func newEndpointIDs() endpointIDs {
-	return endpointIDs{idByName: map[string]policy.EndpointID{}, nameByID: map[policy.EndpointID]string{}}
+	return endpointIDs{idByName: map[string]policy.EndpointID{}, names: map[policy.EndpointID]string{}}
 }
 
 // assign returns the ID of a name. A new ID is the hash of the name or, if another name has it, the next free number.
@@ -25,10 +25,10 @@
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(name)) // never fails
 	id := policy.EndpointID(hash.Sum32())
-	for e.nameByID[id] != "" {
+	for e.names[id] != "" {
 		id++
 	}
-	e.idByName[name], e.nameByID[id] = id, name
+	e.idByName[name], e.names[id] = id, name
 	return id
 }
 
@@ -38,7 +38,7 @@
 func (e *endpointIDs) releaseUnlisted(update Update) (names []string) {
 	unlisted := map[policy.EndpointID]bool{}
 	if update.Kind != policy.UpdateDelta {
-		for id := range e.nameByID {
+		for id := range e.names {
 			unlisted[id] = true
 		}
 	}
@@ -48,9 +48,9 @@
 	}
 	for id, release := range unlisted {
 		if release {
-			names = append(names, e.nameByID[id])
-			delete(e.idByName, e.nameByID[id])
-			delete(e.nameByID, id)
+			names = append(names, e.names[id])
+			delete(e.idByName, e.names[id])
+			delete(e.names, id)
 		}
 	}
 	return names
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -42,7 +42,7 @@
 				t.Errorf("entry %d: %+v in the full list, %+v in the delta", i, full.Endpoints[i], delta.Endpoints[i])
 			}
 		}
-		if d.update(now, policy.UpdateFull, EndpointList{}); len(d.ids.idByName)+len(d.ids.nameByID) != 0 {
+		if d.update(now, policy.UpdateFull, EndpointList{}); len(d.ids.idByName)+len(d.ids.names) != 0 {
 			t.Errorf("%d IDs are kept after an empty list", len(d.ids.idByName))
 		}
 	})
@@ -92,12 +92,12 @@
 // checkIDs checks that each name has an ID of its own, and that there are at most maxIDs.
 func checkIDs(t *testing.T, d *decoder, maxIDs int) {
 	t.Helper()
-	if len(d.ids.idByName) != len(d.ids.nameByID) || len(d.ids.idByName) > maxIDs {
-		t.Errorf("%d names and %d IDs for %d entries", len(d.ids.idByName), len(d.ids.nameByID), maxIDs)
+	if len(d.ids.idByName) != len(d.ids.names) || len(d.ids.idByName) > maxIDs {
+		t.Errorf("%d names and %d IDs for %d entries", len(d.ids.idByName), len(d.ids.names), maxIDs)
 	}
 	for name, id := range d.ids.idByName {
-		if d.ids.nameByID[id] != name {
-			t.Errorf("ID %d belongs to %q and to %q", id, name, d.ids.nameByID[id])
+		if d.ids.names[id] != name {
+			t.Errorf("ID %d belongs to %q and to %q", id, name, d.ids.names[id])
 		}
 	}
 }
--- a/internal/discovery/start_times_test.go
+++ b/internal/discovery/start_times_test.go
@@ -8,8 +8,8 @@
 	"springfield/policy"
 )
 
-// listOf returns a list of endpoints with the given start times in milliseconds, by name.
-func listOf(full bool, startedMS map[string]int64) EndpointList {
+// listed returns a list of endpoints with the given start times in milliseconds, by name.
+func listed(full bool, startedMS map[string]int64) EndpointList {
 	list := EndpointList{Full: full, Servers: []Instance{}}
 	for id, started := range startedMS {
 		list.Servers = append(list.Servers, Instance{ID: id, Addr: "127.0.0.1:1", State: stateUp, StartedMS: started})
@@ -36,16 +36,16 @@
 		t.Run(fmt.Sprint(offset), func(t *testing.T) {
 			decoder := newDecoder(nil)
 			started := wall.Add(offset).UnixMilli()
-			first := decoder.update(at(now), policy.UpdateFull, listOf(true, map[string]int64{"a": started}))
+			first := decoder.update(at(now), policy.UpdateFull, listed(true, map[string]int64{"a": started}))
 			if got := startedAt(t, first); got != now {
 				t.Errorf("in the first list: counts as started %v after the list", got-now)
 			}
 			later := now + 5*time.Second
-			again := decoder.update(at(later), policy.UpdateFull, listOf(true, map[string]int64{"a": started}))
+			again := decoder.update(at(later), policy.UpdateFull, listed(true, map[string]int64{"a": started}))
 			if got := startedAt(t, again); got != now {
 				t.Errorf("listed again: counts as started %v after the first list", got-now)
 			}
-			restarted := decoder.update(at(later), policy.UpdateDelta, listOf(false, map[string]int64{"a": started + 1}))
+			restarted := decoder.update(at(later), policy.UpdateDelta, listed(false, map[string]int64{"a": started + 1}))
 			if got := startedAt(t, restarted); got != later {
 				t.Errorf("restarted: counts as started %v after the restart was listed", got-later)
 			}
@@ -62,7 +62,7 @@
 	started := map[string]int64{"a": wall.Add(-maxClockOffset - time.Minute).UnixMilli()}
 	for _, step := range []time.Duration{0, -time.Hour, time.Hour} {
 		now := clockReading{monotonic: time.Hour, wall: wall.Add(step)}
-		if got := startedAt(t, decoder.update(now, policy.UpdateFull, listOf(true, started))); got != 0 {
+		if got := startedAt(t, decoder.update(now, policy.UpdateFull, listed(true, started))); got != 0 {
 			t.Errorf("after a clock step of %v: counts as started at %v, want 0", step, got)
 		}
 	}
@@ -70,7 +70,7 @@
 	const later = 2 * time.Hour
 	started["a"]--
 	now := clockReading{monotonic: later, wall: wall}
-	if got := startedAt(t, decoder.update(now, policy.UpdateDelta, listOf(false, started))); got != later {
+	if got := startedAt(t, decoder.update(now, policy.UpdateDelta, listed(false, started))); got != later {
 		t.Errorf("restarted: counts as started %v before the restart was listed", later-got)
 	}
 }
@@ -78,7 +78,7 @@
 // An endpoint without a start time must count as started long ago, so that it is not in slow start.
 func TestEndpointWithoutStartTimeStartedLongAgo(t *testing.T) {
 	decoder := newDecoder(nil)
-	update := decoder.update(clockReading{monotonic: time.Hour}, policy.UpdateFull, listOf(true, map[string]int64{"a": 0}))
+	update := decoder.update(clockReading{monotonic: time.Hour}, policy.UpdateFull, listed(true, map[string]int64{"a": 0}))
 	if got := startedAt(t, update); got != 0 {
 		t.Errorf("counts as started at %v, want 0", got)
 	}
@@ -92,9 +92,9 @@
 	wall := time.Now()
 	started := map[string]int64{"a": wall.UnixMilli()}
 	at := func(monotonic time.Duration) clockReading { return clockReading{monotonic: monotonic, wall: wall} }
-	decoder.update(at(now), policy.UpdateFull, listOf(true, started))
-	decoder.update(at(now+time.Second), policy.UpdateFull, listOf(true, nil))
-	update := decoder.update(at(now+time.Minute), policy.UpdateFull, listOf(true, started))
+	decoder.update(at(now), policy.UpdateFull, listed(true, started))
+	decoder.update(at(now+time.Second), policy.UpdateFull, listed(true, nil))
+	update := decoder.update(at(now+time.Minute), policy.UpdateFull, listed(true, started))
 	if got := startedAt(t, update); got != now {
 		t.Errorf("counts as started %v after it was first listed", got-now)
 	}
@@ -107,14 +107,14 @@
 	wall := time.Now()
 	for i := range 5 * maxUnlistedStarts {
 		started := map[string]int64{fmt.Sprint(i): wall.UnixMilli()}
-		decoder.update(clockReading{monotonic: now, wall: wall}, policy.UpdateFull, listOf(true, started))
+		decoder.update(clockReading{monotonic: now, wall: wall}, policy.UpdateFull, listed(true, started))
 	}
 	if got := len(decoder.starts.unlisted); got > maxUnlistedStarts {
 		t.Errorf("%d starts are remembered, which exceeds the limit", got)
 	}
-	decoder.update(clockReading{monotonic: now + 2*unlistedRetention}, policy.UpdateFull, listOf(true, nil))
-	decoder.update(clockReading{monotonic: now + 4*unlistedRetention}, policy.UpdateFull, listOf(true, nil))
-	if unlisted, listed := len(decoder.starts.unlisted), len(decoder.starts.listed); unlisted+listed > 0 {
-		t.Errorf("%d unlisted and %d listed starts remain after the retention time", unlisted, listed)
+	decoder.update(clockReading{monotonic: now + 2*unlistedRetention}, policy.UpdateFull, listed(true, nil))
+	decoder.update(clockReading{monotonic: now + 4*unlistedRetention}, policy.UpdateFull, listed(true, nil))
+	if unlisted, current := len(decoder.starts.unlisted), len(decoder.starts.listed); unlisted+current > 0 {
+		t.Errorf("%d unlisted and %d listed starts remain after the retention time", unlisted, current)
 	}
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -127,22 +127,22 @@
 			time.Sleep(keepAliveInterval)
 			writeText(lines, "\n")
 		}
-		lastLineAt := time.Now()
+		lastWriteAt := time.Now()
 		select {
 		case <-silent:
 			t.Error("timed out despite the lines")
 		default:
 		}
 		<-silent
-		if took := time.Since(lastLineAt); took != watchTimeout {
+		if took := time.Since(lastWriteAt); took != watchTimeout {
 			t.Errorf("timed out %v after the last line, want the watch timeout", took)
 		}
 		if err := lines.Close(); err != nil {
 			t.Error(err)
 		}
 		<-ended
-		if !client.lastLineAt.Equal(lastLineAt) {
-			t.Errorf("last line recorded at %v, written at %v", client.lastLineAt, lastLineAt)
+		if !client.lastLineAt.Equal(lastWriteAt) {
+			t.Errorf("last line recorded at %v, written at %v", client.lastLineAt, lastWriteAt)
 		}
 	})
 }
--- a/internal/eventloop/actions.go
+++ b/internal/eventloop/actions.go
@@ -62,7 +62,7 @@
 
 // StartTimer starts a timer for the engine.
 func (a actions) StartTimer(after time.Duration, t policy.Timer) {
-	a.loop.timers.add(&timer{dueAt: a.loop.now + after, engineTimer: t})
+	a.loop.timers.add(&timer{dueAt: a.loop.now + after, engine: t})
 }
 
 // WatchEndpoints does nothing, because the discovery client always watches the endpoint list.
--- a/internal/eventloop/events.go
+++ b/internal/eventloop/events.go
@@ -134,13 +134,13 @@
 	l.endCall(id, Abandon{}, counters.RequestAbandoned)
 }
 
-type shutdownBegun struct{ deadline time.Duration }
+type shutdownBegun struct{ shutdownDeadline time.Duration }
 
 func (e *shutdownBegun) apply(l *Loop) {
-	l.shutdownDeadline = e.deadline
-	l.engine.BeginShutdown(l.now, e.deadline)
+	l.shutdownDeadline = e.shutdownDeadline
+	l.engine.BeginShutdown(l.now, e.shutdownDeadline)
 	for _, c := range l.calls {
-		c.deadline = min(c.deadline, e.deadline)
+		c.deadline = min(c.deadline, e.shutdownDeadline)
 		if c.attempt != nil && !c.attempt.finished {
 			l.timers.add(&timer{dueAt: c.deadline, attempt: c.attempt})
 		}
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -10,14 +10,14 @@
 // timer is a timer of the engine or the timeout of an attempt. The event loop times out attempts itself, because a
 // deadline on each connection would wake the process up far more often.
 type timer struct {
-	dueAt       time.Duration
-	attempt     *attempt     // attempt to abort when the timer is due; nil for a timer of the engine
-	engineTimer policy.Timer // the engine's value for the timer; used only if attempt is nil
+	dueAt   time.Duration
+	attempt *attempt     // attempt to abort when the timer is due; nil for a timer of the engine
+	engine  policy.Timer // the engine's value for the timer; used only if attempt is nil
 }
 
 // nextTimer returns when the next pending timer is due. It discards timers that are no longer pending: most attempts
 // finish before their timeout, and discarding their timers avoids many wake-ups of the event loop.
-func (l *Loop) nextTimer() (due time.Duration, ok bool) {
+func (l *Loop) nextTimer() (dueAt time.Duration, ok bool) {
 	for len(l.timers) > 0 {
 		if l.isPending(l.timers[0]) {
 			return l.timers[0].dueAt, true
@@ -37,7 +37,7 @@
 		case t.attempt != nil:
 			t.attempt.upstream.Abort(policy.StatusTimedOut)
 		default:
-			l.engine.TimerFired(l.now, t.engineTimer)
+			l.engine.TimerFired(l.now, t.engine)
 		}
 	}
 }
@@ -47,7 +47,7 @@
 	if t.attempt != nil {
 		return !t.attempt.finished
 	}
-	return l.engine.TimerPending(t.engineTimer)
+	return l.engine.TimerPending(t.engine)
 }
 
 // timerQueue is a heap of timers ordered by when they are due. It implements heap.Interface.
