--- a/cmd/simadapter/translate_test.go
+++ b/cmd/simadapter/translate_test.go
@@ -39,7 +39,7 @@
 
 func TestTimerTokenNamesTimer(t *testing.T) {
 	for _, timer := range []policy.Timer{
-		{Kind: policy.TimerManager},
+		{Kind: policy.TimerBandwidthManager},
 		{Kind: policy.TimerRelease, Request: 0xffffffff},
 		{Kind: policy.TimerSilence, Request: 0x5d3a91c4, Attempt: 3},
 		{Kind: policy.TimerSilence, Request: 1, Attempt: 255},
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -76,7 +76,7 @@
 // Start begins the engine's life at the given time.
 func (e *Engine) Start(now time.Duration) {
 	e.startedAt, e.manager.lastRun = now, now
-	e.actions.StartTimer(managerPeriod, Timer{Kind: TimerManager})
+	e.actions.StartTimer(managerPeriod, Timer{Kind: TimerBandwidthManager})
 	if e.cfg.PolledEndpoints {
 		e.actions.WatchEndpoints(true)
 	}
@@ -179,7 +179,7 @@
 	}
 	r := e.requests[timer.Request]
 	switch timer.Kind {
-	case TimerManager:
+	case TimerBandwidthManager:
 		e.runManager(now)
 		e.actions.StartTimer(managerPeriod, timer)
 	case TimerWatch:
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -78,7 +78,7 @@
 	managerTimer := gateway.lastTimer
 	gateway.submit(1, idempotentClass, costlyPlan, 1)
 	silenceTimer := gateway.lastTimer
-	if managerTimer.Kind != TimerManager || silenceTimer.Kind != TimerSilence {
+	if managerTimer.Kind != TimerBandwidthManager || silenceTimer.Kind != TimerSilence {
 		t.Fatalf("started %+v and %+v, want the manager's timer and an attempt's", managerTimer, silenceTimer)
 	}
 	if !engine.TimerPending(managerTimer) || !engine.TimerPending(silenceTimer) {
--- a/policy/types.go
+++ b/policy/types.go
@@ -168,10 +168,10 @@
 
 // The kinds of timer.
 const (
-	TimerManager TimerKind = iota + 1 // the bandwidth manager's next pass
-	TimerRelease                      // a queued request leaves the queue
-	TimerSilence                      // an attempt should have been answered
-	TimerWatch                        // the endpoint list is asked for again
+	TimerBandwidthManager TimerKind = iota + 1 // the bandwidth manager's next pass
+	TimerRelease                               // a queued request leaves the queue
+	TimerSilence                               // an attempt should have been answered
+	TimerWatch                                 // the endpoint list is asked for again
 )
 
 // Timer names a timer. Request and Attempt are those that it belongs to, where there are any.
