--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// maxHoldShare is the longest hold, as a share of the class's latency objective.
-const maxHoldShare = 0.5
+// maxQueueDelayShare is the longest hold, as a share of the class's latency objective.
+const maxQueueDelayShare = 0.5
 
 // admit is the ordinary path of a request: quota rule, ceiling, hold, dispatch. Soft plans, whose use beyond
 // the quota earns more than it costs, meet the quota rule only under overload.
 func (e *Engine) admit(now time.Duration, r *request) {
 	e.updateCustomer(now, r.customer)
 	e.overuse.recordRequest(r)
-	tooMany := e.cfg.MaxOpenRequests > 0 && len(e.requests) > e.cfg.MaxOpenRequests
-	soft := r.customer.plan.OverQuotaValue > r.customer.plan.OverQuotaCost
-	refusal := ReasonNone
+	tooManyOpen := e.cfg.MaxOpenRequests > 0 && len(e.requests) > e.cfg.MaxOpenRequests
+	overQuotaProfitable := r.customer.plan.OverQuotaValue > r.customer.plan.OverQuotaCost
+	refuseReason := ReasonNone
 	switch {
-	case tooMany:
-		refusal = RefusedTooManyOpen
-	case e.overQuota(now, r) && (e.overloaded || !soft):
-		refusal = RefusedOverQuota
+	case tooManyOpen:
+		refuseReason = RefusedTooManyOpen
+	case e.overQuota(now, r) && (e.overloaded || !overQuotaProfitable):
+		refuseReason = RefusedOverQuota
 	}
 	delay, possible := e.admissionDelay(now, r)
-	tooLong := !possible || delay > r.maxHold() || delay+e.expectedLatency(r.Units) > r.TimeLeft
-	if refusal == ReasonNone && tooLong {
-		refusal = RefusedHoldTooLong
+	tooLong := !possible || delay > r.maxQueueDelay() || delay+e.expectedLatency(r.Units) > r.TimeLeft
+	if refuseReason == ReasonNone && tooLong {
+		refuseReason = RefusedHoldTooLong
 	}
-	if refusal != ReasonNone {
-		e.finish(r, refusal)
+	if refuseReason != ReasonNone {
+		e.finish(r, refuseReason)
 		return
 	}
 	e.takeTokens(r)
@@ -34,8 +34,8 @@
 		e.dispatch(now, r)
 		return
 	}
-	r.customer.lastRelease = now + delay
-	e.hold(r, delay)
+	r.customer.lastReleaseAt = now + delay
+	e.enqueue(r, delay)
 }
 
 // admissionDelay is how long a request is held for the ceiling, of which this gateway must have a share, and
@@ -51,25 +51,25 @@
 		}
 	}
 	if e.overloaded && c.plan.QuotaRate > 0 && c.avgUsage >= c.plan.QuotaRate {
-		hold := seconds(e.holdSeconds(c, r.Units))
-		delay = max(delay, max(c.lastRelease, now)+hold-now)
+		pacingDelay := seconds(e.pacingDelaySeconds(c, r.Units))
+		delay = max(delay, max(c.lastReleaseAt, now)+pacingDelay-now)
 	}
 	return delay, true
 }
 
-func (r *request) maxHold() time.Duration {
-	return time.Duration(maxHoldShare * float64(r.class.LatencyObjective))
+func (r *request) maxQueueDelay() time.Duration {
+	return time.Duration(maxQueueDelayShare * float64(r.class.LatencyObjective))
 }
 
-func (e *Engine) hold(r *request, delay time.Duration) {
+func (e *Engine) enqueue(r *request, delay time.Duration) {
 	r.queued = true
-	r.customer.heldRequests++
+	r.customer.queuedRequests++
 	e.actions.StartTimer(delay, Timer{Kind: TimerRelease, Request: r.ID})
 }
 
 // finish gives the final answer: a rejection while the client may safely retry, else a failure.
 func (e *Engine) finish(r *request, reason Reason) {
-	e.reasons.note(reason)
+	e.reasons.record(reason)
 	if r.canReject() {
 		var retryAfter time.Duration
 		if e.cfg.SendRetryAfter && r.customer.plan.QuotaRate > 0 {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -26,8 +26,8 @@
 	gateway.submit(1, idempotentClass, costlyPlan, 1)
 	gateway.finish(1, StatusOK, 1)
 	engine.customers[costlyPlan+1].avgUsage = 20
-	engine.overloaded, engine.pressure = true, 0.9
-	engine.manager.someUnderQuota, engine.manager.peakUsage = true, 1e9
+	engine.overloaded, engine.latencyRatio = true, 0.9
+	engine.bandwidth.anyActiveUnderQuota, engine.bandwidth.peakUsage = true, 1e9
 }
 
 func TestHeldRequestsAreReleasedInTurn(t *testing.T) {
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -20,7 +20,7 @@
 
 	customers    map[CustomerID]*customer
 	customerList []*customer // in order of arrival, so that the manager's pass is deterministic
-	manager      bandwidthManager
+	bandwidth    bandwidthManager
 	overuse      overuseModel
 	reasons      reasonLog
 
@@ -28,19 +28,19 @@
 	endpointList []*endpoint // the present ones by rank
 	readyWeight  float64     // summed weight of the ready endpoints
 
-	pressure       float64       // smoothed latency over latency objective
-	overloaded     bool          // pressure is too high
-	limit          float64       // units in flight that this gateway may have at all endpoints together
-	inFlight       int           // attempts at all endpoints together
-	inFlightUnits  float64       // and their units
-	pausedUntil    time.Duration // no forwarding before; set while limit is under one unit
-	latencyPerUnit float64       // seconds, smoothed over all endpoints
-	retryTokens    float64
-	forwardRate    float64 // units a second forwarded to all endpoints, a slow average
-	forwardedUnits float64 // since the last pass of the manager
-	admittedUnits  float64 // of all requests that the quotas have let in
-	demandRate     float64 // units a second of these, a fast average
-	demandSeen     float64 // admittedUnits at the last pass of the manager
+	latencyRatio       float64       // smoothed latency over latency objective
+	overloaded         bool          // pressure is too high
+	gatewayLimit       float64       // units in flight that this gateway may have at all endpoints together
+	inFlight           int           // attempts at all endpoints together
+	inFlightUnits      float64       // and their units
+	pausedUntil        time.Duration // no forwarding before; set while limit is under one unit
+	latencyPerUnit     float64       // seconds, smoothed over all endpoints
+	retryTokens        float64
+	forwardRate        float64 // units a second forwarded to all endpoints, a slow average
+	forwardedUnits     float64 // since the last pass of the manager
+	admittedUnits      float64 // of all requests that the quotas have let in
+	demandRate         float64 // units a second of these, a fast average
+	admittedAtLastPass float64 // admittedUnits at the last pass of the manager
 }
 
 // request is an admitted or queued request that still lacks its final answer.
@@ -53,11 +53,11 @@
 	queued          bool          // held, or waiting for an endpoint
 	forwarded       bool          // counted in the customer's usage
 	attempts        int
-	inFlight        *endpoint // of the present attempt, nil without one
-	attempt         int       // its number
+	currentEndpoint *endpoint // of the present attempt, nil without one
+	currentAttempt  int       // its number
 	sentAt          time.Duration
 	responseStarted bool
-	countedLate     bool      // this attempt has lowered the fleet limit
+	limitLowered    bool      // this attempt has lowered the fleet limit
 	mayHaveRunOn    *endpoint // of the first attempt that may have been executed
 	mayHaveRunAt    time.Duration
 	triedEndpoints  []EndpointID
@@ -75,26 +75,26 @@
 
 // Start begins the engine's life at the given time.
 func (e *Engine) Start(now time.Duration) {
-	e.startedAt, e.manager.lastRun = now, now
-	e.actions.StartTimer(managerPeriod, Timer{Kind: TimerBandwidthManager})
+	e.startedAt, e.bandwidth.lastRun = now, now
+	e.actions.StartTimer(bandwidthManagerPeriod, Timer{Kind: TimerBandwidthManager})
 	if e.cfg.PolledEndpoints {
 		e.actions.WatchEndpoints(true)
 	}
 }
 
 // Submit takes a client's request, which is owed one final answer.
-func (e *Engine) Submit(now time.Duration, in Request) {
-	if in.Class < 0 || in.Class >= len(e.cfg.Classes) || in.TimeLeft <= 0 {
-		e.reasons.note(RefusedInvalid)
-		e.actions.Reject(in.ID, 0)
+func (e *Engine) Submit(now time.Duration, req Request) {
+	if req.Class < 0 || req.Class >= len(e.cfg.Classes) || req.TimeLeft <= 0 {
+		e.reasons.record(RefusedInvalid)
+		e.actions.Reject(req.ID, 0)
 		return
 	}
-	if !(in.Units > 0) || math.IsInf(in.Units, 0) {
-		in.Units = 1
+	if !(req.Units > 0) || math.IsInf(req.Units, 0) {
+		req.Units = 1
 	}
-	r := &request{Request: in, class: &e.cfg.Classes[in.Class], arrivedAt: now, deadline: now + in.TimeLeft}
-	r.customer = e.customerFor(now, &in)
-	e.requests[in.ID] = r
+	r := &request{Request: req, class: &e.cfg.Classes[req.Class], arrivedAt: now, deadline: now + req.TimeLeft}
+	r.customer = e.customerFor(now, &req)
+	e.requests[req.ID] = r
 	e.retryTokens = min(maxRetryTokens, e.retryTokens+retryTokensPerRequest)
 	e.admit(now, r)
 }
@@ -102,9 +102,9 @@
 // ResponseStarted tells that an answer has begun to stream to the client.
 func (e *Engine) ResponseStarted(now time.Duration, id RequestID, attempt int, endpoint EndpointID) {
 	if ep := e.endpoints[endpoint]; ep != nil {
-		ep.lastResponse = now
+		ep.lastResponseAt = now
 	}
-	if r := e.requests[id]; r != nil && r.inFlight != nil && r.attempt == attempt {
+	if r := e.requests[id]; r != nil && r.currentEndpoint != nil && r.currentAttempt == attempt {
 		r.responseStarted = true
 	}
 }
@@ -113,14 +113,14 @@
 func (e *Engine) AttemptFinished(now time.Duration, result AttemptResult) {
 	ep := e.endpoints[result.Endpoint] // releaseInFlight may forget it
 	r := e.requests[result.Request]
-	current := r != nil && r.inFlight != nil && r.attempt == result.Attempt
+	current := r != nil && r.currentEndpoint != nil && r.currentAttempt == result.Attempt
 	units := 1.0
 	if current {
 		units = r.Units
-		e.releaseInFlight(r.inFlight, units)
+		e.releaseInFlight(r.currentEndpoint, units)
 	} else if orphan, ok := e.orphans[result.Request]; ok && r == nil {
 		units = orphan.Units
-		e.releaseInFlight(orphan.inFlight, units)
+		e.releaseInFlight(orphan.currentEndpoint, units)
 		delete(e.orphans, result.Request)
 	}
 	if ep != nil {
@@ -132,9 +132,9 @@
 	e.recordReading(now, r, result, current)
 	switch result.Status {
 	case StatusOK:
-		e.addPressure(result.Latency.Seconds() / r.class.LatencyObjective.Seconds())
+		e.recordLatencyRatio(result.Latency.Seconds() / r.class.LatencyObjective.Seconds())
 	case StatusRejected, StatusTimedOut:
-		e.addPressure(maxPressureSample)
+		e.recordLatencyRatio(maxLatencyRatio)
 	}
 	if current {
 		r.endAttempt(result.Status)
@@ -143,7 +143,7 @@
 	case result.RequestDone:
 		e.removeRequest(r)
 	case current && result.Status == StatusLocalFailure:
-		e.retryOrHold(now, r)
+		e.requeueOrFinish(now, r)
 	case current:
 		e.retryOrFinish(now, r)
 	}
@@ -155,8 +155,8 @@
 	if r == nil {
 		return
 	}
-	if r.inFlight != nil && e.cfg.CanCancel && !r.responseStarted {
-		e.actions.CancelAttempt(id, r.attempt)
+	if r.currentEndpoint != nil && e.cfg.CanCancel && !r.responseStarted {
+		e.actions.CancelAttempt(id, r.currentAttempt)
 	}
 	e.removeRequest(r)
 }
@@ -180,13 +180,13 @@
 	r := e.requests[timer.Request]
 	switch timer.Kind {
 	case TimerBandwidthManager:
-		e.runManager(now)
-		e.actions.StartTimer(managerPeriod, timer)
+		e.runBandwidthManager(now)
+		e.actions.StartTimer(bandwidthManagerPeriod, timer)
 	case TimerWatch:
 		e.actions.WatchEndpoints(true)
 	case TimerRelease:
 		r.queued = false
-		r.customer.heldRequests--
+		r.customer.queuedRequests--
 		e.dispatch(now, r)
 	case TimerSilence:
 		e.checkSilence(now, r)
@@ -200,7 +200,7 @@
 	case TimerRelease:
 		return r != nil && r.queued
 	case TimerSilence:
-		return r != nil && r.inFlight != nil && r.attempt == timer.Attempt
+		return r != nil && r.currentEndpoint != nil && r.currentAttempt == timer.Attempt
 	}
 	return true
 }
@@ -209,12 +209,12 @@
 func (e *Engine) removeRequest(r *request) {
 	if r.queued {
 		r.queued = false
-		r.customer.heldRequests--
+		r.customer.queuedRequests--
 	}
 	if r.forwarded {
 		r.customer.openRequests--
 	}
-	if r.inFlight != nil {
+	if r.currentEndpoint != nil {
 		e.orphans[r.ID] = r
 	}
 	delete(e.requests, r.ID)
--- a/policy/metering.go
+++ b/policy/metering.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	usageSmoothing  = 0.3  // paper, eq. 2: weight of a new reading in the average usage
-	meterLagPeriods = 1.75 // a reading trails the usage by about this many metering periods
-	shareLags       = 3.0  // this gateway's share of the usage is averaged over this many lags
-	readingPeriods  = 3    // a reading is valid for this many metering periods,
-	readingRequests = 4    // and while the quota over one gateway's even split earns this many units
+	usageSmoothing      = 0.3  // paper, eq. 2: weight of a new reading in the average usage
+	meterLagPeriods     = 1.75 // a reading trails the usage by about this many metering periods
+	shareAveragingLags  = 3.0  // this gateway's share of the usage is averaged over this many lags
+	readingValidPeriods = 3    // a reading is valid for this many metering periods,
+	readingValidUnits   = 4    // and while the quota over one gateway's even split earns this many units
 )
 
 func (e *Engine) meterLagSeconds() float64 { return meterLagPeriods * e.cfg.MeterPeriod.Seconds() }
@@ -29,21 +29,21 @@
 
 // recordUsage takes a reading of a customer's usage over all gateways, as a share of its quota. It goes by
 // time: it does not matter how many answers carry the same reading.
-func (e *Engine) recordUsage(now time.Duration, c *customer, share float64) {
+func (e *Engine) recordUsage(now time.Duration, c *customer, quotaShare float64) {
 	e.updateCustomer(now, c)
-	rate := share * c.plan.QuotaRate
+	rate := quotaShare * c.plan.QuotaRate
 	firstOverQuota := !c.hasReading && c.sparselySpread() && e.readingConclusive(c) && rate > c.plan.QuotaRate
-	isNew := !c.hasReading || rate != c.meteredRate || now-c.averagedAt >= e.cfg.MeterPeriod
+	isNew := !c.hasReading || rate != c.meteredRate || now-c.avgUsageAt >= e.cfg.MeterPeriod
 	c.hasReading, c.meteredRate, c.meteredAt = true, rate, now
-	if !isNew || now-c.averagedAt < e.cfg.MeterPeriod/2 {
+	if !isNew || now-c.avgUsageAt < e.cfg.MeterPeriod/2 {
 		return
 	}
-	c.averagedAt = now
+	c.avgUsageAt = now
 	c.avgUsage += usageSmoothing * (rate - c.avgUsage)
 	periods := 1.0
 	if firstOverQuota {
 		// Its bucket has emptied unseen, and that took as many periods as the burst lasts.
-		c.fleetBucket.tokens = 0
+		c.meteredBucket.tokens = 0
 		periods = c.plan.Burst / c.plan.QuotaRate / e.cfg.MeterPeriod.Seconds()
 	}
 	c.updateRejectProbability(periods)
@@ -55,8 +55,8 @@
 		c.rejectProbability = 0
 		return
 	}
-	admitted := (1 - c.rejectProbability) * math.Pow(c.plan.QuotaRate/c.meteredRate, periods)
-	c.rejectProbability = max(0, 1-admitted)
+	admitProbability := (1 - c.rejectProbability) * math.Pow(c.plan.QuotaRate/c.meteredRate, periods)
+	c.rejectProbability = max(0, 1-admitProbability)
 }
 
 // updateCustomer brings a customer's readings, averages and buckets up to now.
@@ -67,31 +67,31 @@
 	}
 	c.updatedAt = now
 	e.refreshReading(now, c)
-	e.averageShare(c, elapsed)
+	e.updateShareAverages(c, elapsed)
 	e.refillBuckets(c, elapsed)
 }
 
 // refreshReading lets the last reading stand for periods of which no answer tells, and drops it in the end.
 func (e *Engine) refreshReading(now time.Duration, c *customer) {
-	valid := max(readingPeriods*e.cfg.MeterPeriod, seconds(readingRequests*c.setSize/c.plan.QuotaRate))
-	if c.hasReading && now-c.meteredAt > valid {
+	validFor := max(readingValidPeriods*e.cfg.MeterPeriod, seconds(readingValidUnits*c.setSize/c.plan.QuotaRate))
+	if c.hasReading && now-c.meteredAt > validFor {
 		c.hasReading, c.rejectProbability, c.meteredRate = false, 0, 0
-		c.fleetBucket.tokens = c.plan.Burst
+		c.meteredBucket.tokens = c.plan.Burst
 	}
-	if period := e.cfg.MeterPeriod; c.hasReading && now-c.averagedAt >= 2*period {
-		missed := (now - c.averagedAt) / period
-		c.averagedAt += missed * period
-		c.updateRejectProbability(float64(missed))
+	if period := e.cfg.MeterPeriod; c.hasReading && now-c.avgUsageAt >= 2*period {
+		missedPeriods := (now - c.avgUsageAt) / period
+		c.avgUsageAt += missedPeriods * period
+		c.updateRejectProbability(float64(missedPeriods))
 	}
 }
 
-// averageShare averages the units forwarded from here and the metered usage over the meter's lag.
-func (e *Engine) averageShare(c *customer, elapsed float64) {
+// updateShareAverages averages the units forwarded from here and the metered usage over the meter's lag.
+func (e *Engine) updateShareAverages(c *customer, elapsed float64) {
 	lag := e.meterLagSeconds()
 	if lag <= 0 {
 		return
 	}
-	decay := math.Exp(-elapsed / lag / shareLags)
+	decay := math.Exp(-elapsed / lag / shareAveragingLags)
 	c.laggedUnits = c.laggedUnits*decay + c.recentUnits/lag*elapsed
 	c.recentUnits *= math.Exp(-elapsed / lag)
 	c.laggedUsage = c.laggedUsage*decay + c.meteredRate*elapsed
@@ -99,12 +99,12 @@
 
 // usageShare is this gateway's observed share of a customer's usage, first an even split.
 func (e *Engine) usageShare(c *customer) float64 {
-	prior := c.plan.QuotaRate * meterLagPeriods * e.cfg.MeterPeriod.Seconds() * shareLags / 4
+	priorUsage := c.plan.QuotaRate * meterLagPeriods * e.cfg.MeterPeriod.Seconds() * shareAveragingLags / 4
 	// Without usage in the metered period the customer has begun since. Spread over many gateways it hardly uses
 	// this one alone, which would be granted nearly the whole quota.
-	begun := c.meteredRate <= 0 && c.sparselySpread()
-	if prior <= 0 || !c.hasReading || begun {
+	newlyActive := c.meteredRate <= 0 && c.sparselySpread()
+	if priorUsage <= 0 || !c.hasReading || newlyActive {
 		return 1 / c.setSize
 	}
-	return min(1, (c.laggedUnits+prior/c.setSize)/(c.laggedUsage+prior))
+	return min(1, (c.laggedUnits+priorUsage/c.setSize)/(c.laggedUsage+priorUsage))
 }
--- a/policy/metering_test.go
+++ b/policy/metering_test.go
@@ -34,9 +34,9 @@
 		engine := start(cfg, 3).engine
 		c := engine.customerFor(0, &Request{Customer: spreadCustomer, Plan: costlyPlan, SetSize: 150})
 		engine.recordUsage(time.Second, c, 3)
-		if c.fleetBucket.tokens != 0 || c.rejectProbability < 0.8 {
+		if c.meteredBucket.tokens != 0 || c.rejectProbability < 0.8 {
 			t.Errorf("overuse cost %v: bucket of %v units, reject probability %v at a first reading of three quotas",
-				cost, c.fleetBucket.tokens, c.rejectProbability)
+				cost, c.meteredBucket.tokens, c.rejectProbability)
 		}
 	}
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -3,49 +3,50 @@
 import "time"
 
 const (
-	minEjection      = time.Second     // first backoff of an ejected endpoint
-	maxEjection      = 8 * time.Second // longest backoff
-	maxEjectedShare  = 0.5             // share of the ready endpoints that may be ejected
-	rejectionPenalty = 1.5             // factor on the latency of an endpoint that rejects
-	fleetSmoothing   = latencySmoothing / 4
+	minEjection            = time.Second     // first backoff of an ejected endpoint
+	maxEjection            = 8 * time.Second // longest backoff
+	maxEjectedShare        = 0.5             // share of the ready endpoints that may be ejected
+	rejectionLatencyFactor = 1.5             // factor on the latency of an endpoint that rejects
+	fleetLatencySmoothing  = endpointLatencySmoothing / 4
 )
 
 // recordResult learns about an endpoint from the result of an attempt. r is nil for an orphan.
-func (e *Engine) recordResult(now time.Duration, ep *endpoint, res AttemptResult, units float64, r *request) {
-	status := res.Status
-	lost := r != nil && status == StatusTimedOut && r.sentAt < ep.newestAnswered
-	if r != nil && status.tellsOfEndpoint() && !lost {
-		late := res.Latency.Seconds() > endpointLateThreshold*r.class.LatencyObjective.Seconds()
+func (e *Engine) recordResult(now time.Duration, ep *endpoint, result AttemptResult, units float64,
+	r *request) {
+	status := result.Status
+	answerLost := r != nil && status == StatusTimedOut && r.sentAt < ep.newestAnsweredSentAt
+	if r != nil && status.isEndpointOutcome() && !answerLost {
+		late := result.Latency.Seconds() > endpointLateThreshold*r.class.LatencyObjective.Seconds()
 		// Failures lower the limit like lateness: an endpoint that fails a part of its work fast has capacity
 		// all the time, and may never fail often enough in a row to be ejected.
 		late = late && !r.responseStarted || status != StatusOK
-		e.adjustLimits(now, ep, r, late, max(res.Latency, e.expectedLatency(units)))
+		e.adjustLimits(now, ep, r, late, max(result.Latency, e.expectedLatency(units)))
 	}
 	switch status {
 	case StatusOK:
-		e.recordLatency(now, ep, res.Latency.Seconds()/units)
+		e.recordLatency(now, ep, result.Latency.Seconds()/units)
 		if r != nil {
-			ep.newestAnswered = max(ep.newestAnswered, r.sentAt)
+			ep.newestAnsweredSentAt = max(ep.newestAnsweredSentAt, r.sentAt)
 		}
-		ep.ejected, ep.backoff = false, 0
+		ep.ejected, ep.ejectionBackoff = false, 0
 	case StatusRejected:
-		ep.lastResponse, ep.measuredAt = now, now
-		ep.latencyPerUnit = max(ep.latencyPerUnit, e.latencyPerUnit) * rejectionPenalty
+		ep.lastResponseAt, ep.latencyMeasuredAt = now, now
+		ep.latencyPerUnit = max(ep.latencyPerUnit, e.latencyPerUnit) * rejectionLatencyFactor
 		// It may be draining, seconds before the endpoint list says so.
 		e.recordFailure(now, ep, EjectedAfterFailure)
 	case StatusLocalFailure:
 		// Nothing is held against it but in comparison: if it alone cannot be reached from here, others are
 		// preferred.
-		ep.measuredAt = now
-		ep.latencyPerUnit = max(ep.latencyPerUnit, e.latencyPerUnit) * rejectionPenalty
+		ep.latencyMeasuredAt = now
+		ep.latencyPerUnit = max(ep.latencyPerUnit, e.latencyPerUnit) * rejectionLatencyFactor
 	case StatusServerError, StatusConnectFailed, StatusReset:
-		ep.lastResponse = now
+		ep.lastResponseAt = now
 		e.recordFailure(now, ep, EjectedAfterFailure)
 	}
 }
 
-// tellsOfEndpoint reports whether an attempt that ended so says something of its endpoint.
-func (s Status) tellsOfEndpoint() bool {
+// isEndpointOutcome reports whether an attempt that ended so says something of its endpoint.
+func (s Status) isEndpointOutcome() bool {
 	return s != StatusCancelled && s != StatusNotSent && s != StatusLocalFailure
 }
 
@@ -53,11 +54,11 @@
 // that doubles; but never so many endpoints that the rest would be overloaded.
 func (e *Engine) recordFailure(now time.Duration, ep *endpoint, reason Reason) {
 	if ep.ejected {
-		ep.backoff = min(maxEjection, 2*max(ep.backoff, minEjection/2))
-		ep.nextTrial = now + ep.backoff
+		ep.ejectionBackoff = min(maxEjection, 2*max(ep.ejectionBackoff, minEjection/2))
+		ep.nextTrialAt = now + ep.ejectionBackoff
 	} else if e.mayEjectAnother() {
-		e.reasons.note(reason)
-		ep.ejected, ep.backoff, ep.nextTrial = true, minEjection, now+minEjection
+		e.reasons.record(reason)
+		ep.ejected, ep.ejectionBackoff, ep.nextTrialAt = true, minEjection, now+minEjection
 	}
 }
 
@@ -78,7 +79,7 @@
 // and would be lost if the trial fails.
 func (ep *endpoint) trialTime(r *request) time.Duration {
 	if r.class.Idempotency == NonIdempotent {
-		return ep.nextTrial + maxEjection
+		return ep.nextTrialAt + maxEjection
 	}
-	return ep.nextTrial
+	return ep.nextTrialAt
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -57,12 +57,12 @@
 	gateway.submit(1, idempotentClass, unknownPlan, 1)
 	ep := gateway.endpointOf(0)
 	gateway.finish(1, StatusRejected, noUsage)
-	if !ep.ejected || ep.nextTrial != gateway.now+minEjection {
-		t.Fatalf("ejected %v until %v after a rejection", ep.ejected, ep.nextTrial)
+	if !ep.ejected || ep.nextTrialAt != gateway.now+minEjection {
+		t.Fatalf("ejected %v until %v after a rejection", ep.ejected, ep.nextTrialAt)
 	}
-	gateway.now = ep.nextTrial
+	gateway.now = ep.nextTrialAt
 	engine.recordFailure(gateway.now, ep, EjectedAfterFailure) // and again
-	if backoff := ep.nextTrial - gateway.now; backoff != 2*minEjection {
+	if backoff := ep.nextTrialAt - gateway.now; backoff != 2*minEjection {
 		t.Errorf("ejected for %v after another rejection", backoff)
 	}
 	gateway.submit(2, idempotentClass, unknownPlan, 1)
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -26,9 +26,9 @@
 		engine.adjustLimits(gateway.now, ep, newRequest(engine, 1, nil), true, lateLatency)
 	}
 	want := minUnitsPerEndpoint * endpoints / gateways
-	if math.Abs(engine.limit-want) > 1e-9 || engine.pausedUntil > gateway.now {
+	if math.Abs(engine.gatewayLimit-want) > 1e-9 || engine.pausedUntil > gateway.now {
 		t.Fatalf("limit %v (want %v), pause of %v after late answers alone",
-			engine.limit, want, engine.pausedUntil-gateway.now)
+			engine.gatewayLimit, want, engine.pausedUntil-gateway.now)
 	}
 	gateway.submit(1, idempotentClass, unknownPlan, 1)
 	if len(gateway.forwarded) != 1 {
@@ -37,7 +37,7 @@
 	for _, ep := range engine.endpointList { // endpoints that warm up have less capacity
 		ep.StartedAt = gateway.now
 	}
-	if minLimit := engine.minLimit(gateway.now); minLimit >= want {
+	if minLimit := engine.gatewayLimitFloor(gateway.now); minLimit >= want {
 		t.Errorf("minimum limit %v with endpoints that warm up", minLimit)
 	}
 }
@@ -54,24 +54,24 @@
 		gateway.now += time.Second
 		engine.adjustLimits(gateway.now, ep, newRequest(engine, 1, nil), true, lateLatency)
 	}
-	minLimit := max(minFleetLimit, minUnitsPerEndpoint/100)
-	if ep.limit != 1 || math.Abs(engine.limit-minLimit) > 1e-9 || engine.pausedUntil <= gateway.now {
+	minLimit := max(minGatewayLimit, minUnitsPerEndpoint/100)
+	if ep.limit != 1 || math.Abs(engine.gatewayLimit-minLimit) > 1e-9 || engine.pausedUntil <= gateway.now {
 		t.Fatalf("endpoint limit %v, limit on all %v, pause of %v after late answers",
-			ep.limit, engine.limit, engine.pausedUntil-gateway.now)
+			ep.limit, engine.gatewayLimit, engine.pausedUntil-gateway.now)
 	}
 	gateway.submit(100, idempotentClass, unknownPlan, 1)
 	if len(gateway.forwarded) != 0 {
 		t.Error("forwarded during a pause")
 	}
 	// An attempt lowers the limit once, however often it is looked at: one without an answer is looked at often.
-	engine.limit = 9
+	engine.gatewayLimit = 9
 	for range 10 {
 		engine.adjustLimits(gateway.now, ep, lost, true, lateLatency)
 	}
-	if engine.limit != 9-limitDecrease {
-		t.Errorf("limit on all endpoints %v after one lost answer", engine.limit)
+	if engine.gatewayLimit != 9-gatewayLimitDecrease {
+		t.Errorf("limit on all endpoints %v after one lost answer", engine.gatewayLimit)
 	}
-	engine.pausedUntil, engine.limit = 0, 9
+	engine.pausedUntil, engine.gatewayLimit = 0, 9
 	for id := RequestID(1); id <= 5; id++ {
 		gateway.submit(id, idempotentClass, unknownPlan, 1)
 	}
@@ -109,7 +109,7 @@
 	gateway.advanceTo(20 * time.Millisecond)
 	gateway.finish(later, StatusOK, noUsage)
 	gateway.advanceTo(250 * time.Millisecond)
-	if r := engine.requests[1]; r == nil || !r.overtaken() || !slices.Contains(gateway.cancelled, 1) {
+	if r := engine.requests[1]; r == nil || !r.laterAttemptAnswered() || !slices.Contains(gateway.cancelled, 1) {
 		t.Fatalf("not moved: %v", gateway.log)
 	}
 	if ep.limit < limitBefore || ep.ejected {
@@ -121,7 +121,7 @@
 func TestRequestThatWouldBeLateIsRejectedUnderOverload(t *testing.T) {
 	gateway := start(config(), 3)
 	engine := gateway.engine
-	engine.latencyPerUnit, engine.overloaded, engine.pressure = 0.6, true, 1
+	engine.latencyPerUnit, engine.overloaded, engine.latencyRatio = 0.6, true, 1
 	gateway.submit(1, idempotentClass, unknownPlan, 1)
 	if len(gateway.rejected) != 1 || len(gateway.forwarded) != 0 {
 		t.Errorf("%v", gateway.log)
@@ -143,7 +143,7 @@
 	}
 	gateway.advanceTo(400 * time.Millisecond)
 	if !engine.overloaded {
-		t.Errorf("pressure %v after no request found capacity", engine.pressure)
+		t.Errorf("pressure %v after no request found capacity", engine.latencyRatio)
 	}
 }
 
@@ -154,8 +154,8 @@
 	cfg.Plans[softPlan].PriceFactor = 0.2 // a fifth of what costlyPlan earns
 	gateway := start(cfg, 1)
 	engine, ep := gateway.engine, gateway.engine.endpoints[1]
-	engine.overloaded, engine.pressure = true, 1
-	ep.limit, ep.inFlight, ep.inFlightUnits, ep.lastResponse = 4, 2, 2, 0
+	engine.overloaded, engine.latencyRatio = true, 1
+	ep.limit, ep.inFlight, ep.inFlightUnits, ep.lastResponseAt = 4, 2, 2, 0
 	gateway.submit(1, idempotentClass, softPlan, 1)
 	if len(gateway.forwarded) != 0 {
 		t.Fatalf("a request of low priority took the reserve: %v", gateway.log)
--- a/policy/overuse_test.go
+++ b/policy/overuse_test.go
@@ -130,7 +130,7 @@
 			cfg.Plans = []Plan{plan, plan}
 			gateway := start(cfg, 3)
 			overuse := &gateway.engine.overuse
-			overuse.meteredValue, overuse.meteredCost, overuse.meteredNumber = 600, meteredCost*600, 100
+			overuse.meteredValue, overuse.meteredCost, overuse.meteredRequests = 600, meteredCost*600, 100
 			overuse.plans[0] = overuseStats{200, 200 * overQuotaShare}
 			overuse.plans[1] = overuseStats{200, 200 * (0.4 - overQuotaShare)}
 			gateway.submitSpread(1, 2, 150)
@@ -163,7 +163,7 @@
 				overuse.recordMetered(newRequest(engine, 2, c))
 			}
 		}
-		return overuse.planRatio(&overuse.plans[0]), overuse.planRatio(&overuse.plans[1])
+		return overuse.planOveruseRatio(&overuse.plans[0]), overuse.planOveruseRatio(&overuse.plans[1])
 	}
 	if within, over := ratiosAfter(0); within != 1 || over != 1 {
 		t.Errorf("ratios %v and %v before any reading", within, over)
@@ -174,7 +174,7 @@
 	if within, over := ratiosAfter(40); within > 0.3 || within <= 0 || over < 1.7 || over > 2 {
 		t.Errorf("ratios %v and %v after forty more", within, over)
 	}
-	unknown, unread := overuse.planRatio(&overuse.plans[2]), overuse.planRatio(&overuseStats{})
+	unknown, unread := overuse.planOveruseRatio(&overuse.plans[2]), overuse.planOveruseRatio(&overuseStats{})
 	if unknown != 1 || unread != 1 {
 		t.Errorf("ratios %v and %v of plans without readings", unknown, unread)
 	}
--- a/policy/pacing_test.go
+++ b/policy/pacing_test.go
@@ -7,7 +7,7 @@
 
 func TestHoldSecondsFormula(t *testing.T) {
 	engine := start(config(), 3).engine
-	manager := &engine.manager
+	manager := &engine.bandwidth
 	c := &customer{plan: &Plan{QuotaRate: 10}, avgUsage: 4}
 	manager.peakUsage, manager.totalQuota, manager.totalUsage = 100, 40, 20
 	for _, test := range []struct {
@@ -20,17 +20,17 @@
 		{false, 4, 20, 24}, // total quota less the usage of the others, while quota is left
 		{false, 4, 50, 10}, // else the quota
 	} {
-		manager.someUnderQuota, manager.totalUsage = test.someUnderQuota, test.totalUsage
+		manager.anyActiveUnderQuota, manager.totalUsage = test.someUnderQuota, test.totalUsage
 		c.avgUsage = test.avgUsage
 		if got := manager.availableRate(c); got != test.availableRate {
 			t.Errorf("%+v: available rate %v", test, got)
 		}
-		if got, want := engine.holdSeconds(c, 2), (1/test.availableRate-1/100.0)*2; math.Abs(got-want) > 1e-12 {
+		if got, want := engine.pacingDelaySeconds(c, 2), (1/test.availableRate-1/100.0)*2; math.Abs(got-want) > 1e-12 {
 			t.Errorf("%+v: hold of %v s, want %v s", test, got, want)
 		}
 	}
 	manager.peakUsage = 5
-	if got := engine.holdSeconds(c, 2); got != 0 {
+	if got := engine.pacingDelaySeconds(c, 2); got != 0 {
 		t.Errorf("hold of %v s, want the floor of 0", got)
 	}
 }
--- a/policy/properties_model_test.go
+++ b/policy/properties_model_test.go
@@ -286,8 +286,8 @@
 		}
 	}
 	for _, c := range e.customerList {
-		if c.openRequests != 0 || c.heldRequests != 0 {
-			m.violate(ruleRelease, "customer %d: %d open, %d held", c.id, c.openRequests, c.heldRequests)
+		if c.openRequests != 0 || c.queuedRequests != 0 {
+			m.violate(ruleRelease, "customer %d: %d open, %d held", c.id, c.openRequests, c.queuedRequests)
 		}
 	}
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	maxDebtSeconds = 5.0 // of its quota that estimatedBucket may lack while readings are conclusive
-	minBucketShare = 0.6 // least size of gatewayBucket, over the largest request: a usual request
-	minSplitUnits  = 0.5 // half of the least request
+	maxDebtSeconds        = 5.0 // of its quota that estimatedBucket may lack while readings are conclusive
+	minBucketRequestShare = 0.6 // least size of gatewayBucket, over the largest request: a usual request
+	minSplitUnits         = 0.5 // half of the least request
 )
 
 // tokenBucket holds units that may still be used; they may go below zero.
@@ -25,13 +25,13 @@
 		return false
 	}
 	if !c.hasReading || !e.readingConclusive(c) {
-		if c.estimatedBucket.tokens < r.Units || e.rejectsUnknown(now, r) {
+		if c.estimatedBucket.tokens < r.Units || e.rejectsUnknownUsage(now, r) {
 			return true
 		}
-	} else if !e.meterDecidesAlone(c) && c.gatewayBucket.tokens < r.Units/2 {
+	} else if !e.quotaByMeterAlone(c) && c.gatewayBucket.tokens < r.Units/2 {
 		return true // half of the units: they are a guess, and so is this gateway's share
 	}
-	return c.hasReading && c.fleetBucket.tokens < r.Units && e.rng.Float64() < c.rejectProbability
+	return c.hasReading && c.meteredBucket.tokens < r.Units && e.rng.Float64() < c.rejectProbability
 }
 
 // readingConclusive reports whether one reading tells: the quota of a metering period holds a request.
@@ -39,9 +39,9 @@
 	return c.plan.QuotaRate*e.cfg.MeterPeriod.Seconds() >= max(1, e.cfg.MaxRequestUnits)
 }
 
-// meterDecidesAlone reports whether gatewayBucket tells nothing, since it is empty after each request. Plans
+// quotaByMeterAlone reports whether gatewayBucket tells nothing, since it is empty after each request. Plans
 // whose overuse costs as much as it would earn are kept to it all the same.
-func (e *Engine) meterDecidesAlone(c *customer) bool {
+func (e *Engine) quotaByMeterAlone(c *customer) bool {
 	return c.sparselySpread() && c.plan.OverQuotaCost < 1 && e.readingConclusive(c)
 }
 
@@ -53,9 +53,9 @@
 func (e *Engine) takeTokens(r *request) {
 	c := r.customer
 	c.ceilingBucket.tokens -= r.Units
-	c.lastEstimate = r.Units / e.usageShare(c)
+	c.lastEstimatedUnits = r.Units / e.usageShare(c)
 	c.gatewayBucket.tokens -= r.Units
-	c.estimatedBucket.tokens -= c.lastEstimate / e.overcommitFactor(c)
+	c.estimatedBucket.tokens -= c.lastEstimatedUnits / e.overcommitFactor(c)
 	if e.readingConclusive(c) { // bounded, so that a request is forwarded now and then and brings a reading
 		c.estimatedBucket.tokens = max(c.estimatedBucket.tokens, -maxDebtSeconds*c.plan.QuotaRate)
 	}
@@ -65,16 +65,16 @@
 func (e *Engine) refillBuckets(c *customer, elapsed float64) {
 	p := c.plan
 	usage := c.meteredRate
-	if lag := e.meterLagSeconds(); lag > 0 && e.meterDecidesAlone(c) {
+	if lag := e.meterLagSeconds(); lag > 0 && e.quotaByMeterAlone(c) {
 		usage = max(usage, c.recentUnits/lag) // what this gateway forwards shows before the meter
 	}
-	c.fleetBucket.tokens = min(p.Burst, max(0, c.fleetBucket.tokens+(p.QuotaRate-usage)*elapsed))
+	c.meteredBucket.tokens = min(p.Burst, max(0, c.meteredBucket.tokens+(p.QuotaRate-usage)*elapsed))
 	c.gatewayBucket.refill(p.QuotaRate*e.usageShare(c)*elapsed, e.gatewayBurst(c))
 	estimatedRate := p.QuotaRate * e.overcommitFactor(c)
-	if c.hasReading && !e.overloaded && c.lastEstimate > p.Burst {
+	if c.hasReading && !e.overloaded && c.lastEstimatedUnits > p.Burst {
 		// One request takes more than the burst: what readings say is unused may be used.
 		unused := max(0, p.QuotaRate-c.avgUsage)
-		estimatedRate += unused / e.usageShare(c) * (1 - p.Burst/c.lastEstimate) * max(0, 1-p.OverQuotaCost)
+		estimatedRate += unused / e.usageShare(c) * (1 - p.Burst/c.lastEstimatedUnits) * max(0, 1-p.OverQuotaCost)
 	}
 	c.estimatedBucket.refill(estimatedRate*elapsed, p.Burst)
 	c.ceilingBucket.refill(p.CeilingRate/c.setSize*elapsed, p.CeilingBurst/c.setSize)
@@ -82,5 +82,5 @@
 
 // gatewayBurst is the capacity of gatewayBucket: this gateway's share of the burst, a usual request at least.
 func (e *Engine) gatewayBurst(c *customer) float64 {
-	return max(c.plan.Burst*e.usageShare(c), minBucketShare*e.cfg.MaxRequestUnits, 1)
+	return max(c.plan.Burst*e.usageShare(c), minBucketRequestShare*e.cfg.MaxRequestUnits, 1)
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -14,15 +14,15 @@
 		gateway.advance(time.Second)
 		gateway.engine.recordUsage(gateway.now, c, 2)
 	}
-	if c.fleetBucket.tokens != 0 || c.rejectProbability <= 0.5 {
-		t.Fatalf("bucket of %v units, reject probability %v", c.fleetBucket.tokens, c.rejectProbability)
+	if c.meteredBucket.tokens != 0 || c.rejectProbability <= 0.5 {
+		t.Fatalf("bucket of %v units, reject probability %v", c.meteredBucket.tokens, c.rejectProbability)
 	}
 	c.rejectProbability = 1
 	gateway.submit(2, idempotentClass, costlyPlan, 1)
 	if len(gateway.rejected) != 1 {
 		t.Errorf("not rejected at an empty bucket and a reject probability of 1: %v", gateway.log)
 	}
-	c.fleetBucket.tokens = 5
+	c.meteredBucket.tokens = 5
 	gateway.submit(3, idempotentClass, costlyPlan, 1)
 	if len(gateway.forwarded) != 2 {
 		t.Errorf("not forwarded with units in the bucket: %v", gateway.log)
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -41,7 +41,7 @@
 	last   Reason
 }
 
-func (l *reasonLog) note(reason Reason) {
+func (l *reasonLog) record(reason Reason) {
 	l.counts[reason]++
 	l.last = reason
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -11,14 +11,14 @@
 
 // endAttempt notes that the attempt in flight has ended, and whether it may have been executed.
 func (r *request) endAttempt(status Status) {
-	if !status.neverRan() && status != StatusOK && r.mayHaveRunOn == nil {
-		r.mayHaveRunOn, r.mayHaveRunAt = r.inFlight, r.sentAt
+	if !status.neverExecuted() && status != StatusOK && r.mayHaveRunOn == nil {
+		r.mayHaveRunOn, r.mayHaveRunAt = r.currentEndpoint, r.sentAt
 	}
-	r.inFlight = nil
+	r.currentEndpoint = nil
 }
 
-// neverRan reports whether an attempt that ended so was certainly not executed.
-func (s Status) neverRan() bool {
+// neverExecuted reports whether an attempt that ended so was certainly not executed.
+func (s Status) neverExecuted() bool {
 	switch s {
 	case StatusRejected, StatusConnectFailed, StatusNotSent, StatusLocalFailure:
 		return true
@@ -27,19 +27,19 @@
 	}
 }
 
-// retryOrHold goes on after an attempt that failed on this machine. No endpoint was asked, so that it costs
+// requeueOrFinish goes on after an attempt that failed on this machine. No endpoint was asked, so that it costs
 // nothing of the retry budget; but the next attempt would fail at once in the same way, so it waits for a
 // moment first.
-func (e *Engine) retryOrHold(now time.Duration, r *request) {
-	delay := r.class.LatencyObjective / queueRetries
+func (e *Engine) requeueOrFinish(now time.Duration, r *request) {
+	delay := r.class.LatencyObjective / queueRetriesPerObjective
 	switch {
 	case e.attemptsExhausted(r):
 		e.finish(r, RefusedAttemptsUsed)
 	case now+delay+e.expectedLatency(r.Units) >= r.deadline:
 		e.finish(r, RefusedNoTimeForRetry)
 	default:
-		e.reasons.note(RetriedAfterLocal)
-		e.hold(r, delay)
+		e.reasons.record(RetriedAfterLocal)
+		e.enqueue(r, delay)
 	}
 }
 
@@ -53,7 +53,7 @@
 	case e.attemptsExhausted(r):
 		e.finish(r, RefusedAttemptsUsed)
 	default:
-		e.reasons.note(RetriedAfterFailure)
+		e.reasons.record(RetriedAfterFailure)
 		e.retryTokens--
 		e.dispatch(now, r)
 	}
@@ -79,7 +79,7 @@
 
 // canReject reports whether a rejection may still be given, which promises that nothing has run.
 func (r *request) canReject() bool {
-	return r.inFlight == nil && r.mayHaveRunOn == nil || r.class.Idempotency == Idempotent
+	return r.currentEndpoint == nil && r.mayHaveRunOn == nil || r.class.Idempotency == Idempotent
 }
 
 // silenceTimeout is when an attempt is looked at that has not been answered.
@@ -96,36 +96,38 @@
 		return
 	}
 	age := now - r.sentAt
-	if !r.overtaken() {
+	if !r.laterAttemptAnswered() {
 		late := age.Seconds() > endpointLateThreshold*r.class.LatencyObjective.Seconds()
-		e.adjustLimits(now, r.inFlight, r, late, age)
+		e.adjustLimits(now, r.currentEndpoint, r, late, age)
 	}
 	if !e.cfg.CanCancel || now >= r.deadline {
 		return
 	}
 	due := seconds(silenceFactor * e.latencyPerUnit * r.Units)
-	if age >= due && e.mayMove(now, r) {
-		if r.inFlight.lastResponse <= r.sentAt {
-			e.recordFailure(now, r.inFlight, EjectedAfterSilence) // it has answered nothing else either
+	if age >= due && e.mayRetryElsewhere(now, r) {
+		if r.currentEndpoint.lastResponseAt <= r.sentAt {
+			e.recordFailure(now, r.currentEndpoint, EjectedAfterSilence) // it has answered nothing else either
 		}
-		e.reasons.note(RetriedAfterSilence)
-		e.actions.CancelAttempt(r.ID, r.attempt)
+		e.reasons.record(RetriedAfterSilence)
+		e.actions.CancelAttempt(r.ID, r.currentAttempt)
 		return
 	}
 	next := e.silenceTimeout(r)
 	if age < due {
 		next = due - age
 	}
-	e.actions.StartTimer(next, Timer{TimerSilence, r.ID, r.attempt})
+	e.actions.StartTimer(next, Timer{TimerSilence, r.ID, r.currentAttempt})
 }
 
-// mayMove reports whether the attempt in flight may be cancelled and retried elsewhere.
-func (e *Engine) mayMove(now time.Duration, r *request) bool {
+// mayRetryElsewhere reports whether the attempt in flight may be cancelled and retried elsewhere.
+func (e *Engine) mayRetryElsewhere(now time.Duration, r *request) bool {
 	keyRemembered := r.class.Idempotency == IdempotentByKey && now < r.sentAt+r.class.KeyTTL
 	timeLeft := r.deadline-now > e.expectedLatency(r.Units)
 	affordable := e.retryTokens >= 1 && !e.attemptsExhausted(r)
 	return (r.class.Idempotency == Idempotent || keyRemembered) && timeLeft && affordable
 }
 
-// overtaken reports whether the answer seems lost, which is no sign of load: later attempts were answered.
-func (r *request) overtaken() bool { return r.inFlight != nil && r.sentAt < r.inFlight.newestAnswered }
+// laterAttemptAnswered reports whether the answer seems lost, which is no sign of load: later attempts were answered.
+func (r *request) laterAttemptAnswered() bool {
+	return r.currentEndpoint != nil && r.sentAt < r.currentEndpoint.newestAnsweredSentAt
+}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -110,7 +110,7 @@
 			if len(gateway.forwarded) != before {
 				t.Errorf("class %d: tried again at once", class)
 			}
-			gateway.advance(engine.cfg.Classes[class].LatencyObjective / queueRetries)
+			gateway.advance(engine.cfg.Classes[class].LatencyObjective / queueRetriesPerObjective)
 		}
 		if len(gateway.forwarded) != failures+1 {
 			t.Errorf("class %d: %v", class, gateway.log)
@@ -135,7 +135,7 @@
 	gateway.submit(1, nonIdempotentClass, unknownPlan, 1)
 	deadline := gateway.engine.requests[1].deadline
 	for len(gateway.rejected) == 0 && gateway.now < deadline {
-		if gateway.engine.requests[1].inFlight != nil {
+		if gateway.engine.requests[1].currentEndpoint != nil {
 			gateway.finish(1, StatusLocalFailure, noUsage)
 		}
 		gateway.advance(time.Millisecond)
@@ -155,7 +155,7 @@
 		for met <= requests && gateway.lastForwarded().endpoint == unreachable {
 			met++
 			gateway.finish(id, StatusLocalFailure, noUsage)
-			gateway.advance(gateway.engine.cfg.Classes[idempotentClass].LatencyObjective / queueRetries)
+			gateway.advance(gateway.engine.cfg.Classes[idempotentClass].LatencyObjective / queueRetriesPerObjective)
 		}
 		gateway.finish(id, StatusOK, noUsage)
 		gateway.advance(10 * time.Millisecond)
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	warmUpMargin       = 0.8  // share of the warm-up budget that is used
-	minInitialCapacity = 0.01 // share of its capacity at which an endpoint starts at least
-	rateManagerPeriods = 10   // least averaging time of forwardRate, in passes of the manager
+	warmUpMargin           = 0.8  // share of the warm-up budget that is used
+	minInitialCapacity     = 0.01 // share of its capacity at which an endpoint starts at least
+	minRateAveragingPasses = 10   // least averaging time of forwardRate, in passes of the manager
 
 	// safeDemandShare is the part of what is requested that endpoints surely bear once they are warm: all but
 	// requests of over 2.5 times their capacity.
 	safeDemandShare = 0.4
 
-	// warmUpFreeCalls is how many calls in each window the whole fleet may make at an endpoint whatever it
+	// warmUpFreeRequests is how many calls in each window the whole fleet may make at an endpoint whatever it
 	// bears. The operators leave three for chance where it bears nothing at all.
-	warmUpFreeCalls = 2
+	warmUpFreeRequests = 2
 
-	leastWarmUpTokens = 1e-9 // units; lets a request pass that the bucket has just earned
+	minWarmUpTokens = 1e-9 // units; lets a request pass that the bucket has just earned
 )
 
-// warmth is the least share of its capacity that an endpoint has by now.
-func (e *Engine) warmth(now time.Duration, ep *endpoint) float64 {
+// capacityShare is the least share of its capacity that an endpoint has by now.
+func (e *Engine) capacityShare(now time.Duration, ep *endpoint) float64 {
 	age := now - ep.StartedAt
 	if ep.StartedAt <= 0 || e.cfg.WarmUpDuration <= 0 || age >= e.cfg.WarmUpDuration {
 		return 1
@@ -31,7 +31,7 @@
 // warmUpShare is the part of a rate of the whole that an endpoint in slow start may get: its share among
 // equal warm endpoints, times what it bears by now.
 func (e *Engine) warmUpShare(now time.Duration, ep *endpoint) float64 {
-	budget := warmUpMargin * max(1, e.cfg.WarmUpOverloadFactor) * e.warmth(now, ep)
+	budget := warmUpMargin * max(1, e.cfg.WarmUpOverloadFactor) * e.capacityShare(now, ep)
 	return budget * ep.Weight / e.readyWeight
 }
 
@@ -39,14 +39,14 @@
 // below zero at random, to spread the first requests of many gateways that learn of a start at once. A few
 // calls of the whole fleet are free, which the rule leaves for chance.
 func (e *Engine) warmUpBudgetAllows(now time.Duration, ep *endpoint, units float64) bool {
-	if e.warmth(now, ep) >= 1 {
+	if e.capacityShare(now, ep) >= 1 {
 		return true
 	}
 	if ep.warmUpUpdatedAt <= ep.StartedAt {
 		ep.warmUpUpdatedAt = max(ep.StartedAt, now)
 		ep.warmUpBucket.tokens = -units * e.rng.Float64()
-		if e.rng.Float64()*float64(e.cfg.GatewayCount) < warmUpFreeCalls {
-			ep.warmUpBucket.tokens = leastWarmUpTokens
+		if e.rng.Float64()*float64(e.cfg.GatewayCount) < warmUpFreeRequests {
+			ep.warmUpBucket.tokens = minWarmUpTokens
 		}
 	}
 	e.refillWarmUpBucket(now, ep, units)
@@ -62,28 +62,30 @@
 	elapsed := (now - ep.warmUpUpdatedAt).Seconds()
 	freeRate := 0.0
 	if window > 0 {
-		freeRate = warmUpFreeCalls * units / window / float64(max(1, e.cfg.GatewayCount))
+		freeRate = warmUpFreeRequests * units / window / float64(max(1, e.cfg.GatewayCount))
 	}
 	rate := max(share*e.forwardRate, freeRate)
-	gain := rate * elapsed
+	addedUnits := rate * elapsed
 	if e.forwardRate <= safeDemandShare*e.demandRate {
 		rate = max(share*safeDemandShare*e.demandRate, freeRate)
-		gain = max(share*safeDemandShare*(e.admittedUnits-ep.admittedSeen), freeRate*elapsed)
+		addedUnits = max(share*safeDemandShare*(e.admittedUnits-ep.admittedAtRefill), freeRate*elapsed)
 	}
-	ep.warmUpBucket.refill(gain, max(rate*window/2, leastWarmUpTokens))
-	ep.warmUpUpdatedAt, ep.admittedSeen = now, e.admittedUnits
+	ep.warmUpBucket.refill(addedUnits, max(rate*window/2, minWarmUpTokens))
+	ep.warmUpUpdatedAt, ep.admittedAtRefill = now, e.admittedUnits
 }
 
 // updateRates averages the units forwarded and admitted since the manager's last pass.
 func (e *Engine) updateRates(now, elapsed time.Duration) {
-	s := elapsed.Seconds()
-	if s <= 0 {
+	elapsedSeconds := elapsed.Seconds()
+	if elapsedSeconds <= 0 {
 		return
 	}
-	averaging := max(rateManagerPeriods*managerPeriod, min(now-e.startedAt, 2*e.cfg.WarmUpDuration)).Seconds()
-	e.forwardRate += min(1, s/averaging) * (e.forwardedUnits/s - e.forwardRate)
+	averaging := max(minRateAveragingPasses*bandwidthManagerPeriod,
+		min(now-e.startedAt, 2*e.cfg.WarmUpDuration)).Seconds()
+	e.forwardRate += min(1, elapsedSeconds/averaging) * (e.forwardedUnits/elapsedSeconds - e.forwardRate)
 	e.forwardedUnits = 0
-	demandAveraging := (rateManagerPeriods * managerPeriod).Seconds()
-	e.demandRate += min(1, s/demandAveraging) * ((e.admittedUnits-e.demandSeen)/s - e.demandRate)
-	e.demandSeen = e.admittedUnits
+	demandAveraging := (minRateAveragingPasses * bandwidthManagerPeriod).Seconds()
+	e.demandRate += min(1, elapsedSeconds/demandAveraging) *
+		((e.admittedUnits-e.admittedAtLastPass)/elapsedSeconds - e.demandRate)
+	e.admittedAtLastPass = e.admittedUnits
 }
