--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,7 +1,9 @@
-// Package policy makes every decision of a gateway that holds customers to their quotas in front of a shared
-// back end, after Li and Jamin, "A Measurement-Based Admission-Controlled Web Server" ("the paper"). It
-// performs no I/O, reads no clock and starts no goroutine: the same events lead to the same actions.
+// Package policy makes every decision of a gateway in front of a shared fleet of endpoints: admission control
+// by customer quotas, pacing, load balancing, concurrency limits, retries, slow start and outlier ejection.
+// Quotas and pacing follow Li and Jamin, "A Measurement-Based Admission-Controlled Web Server" ("the paper"
+// in the comments of this package). The package performs no I/O, reads no clock and starts no goroutine: the
+// same configuration and events always lead to the same actions.
 //
-// The interface stands in types.go. Engine (engine.go) takes the events; admission.go is the ordinary path of
-// a request. Each of the remaining files holds one concern with its constants.
+// The file types.go declares the interface. Engine, in engine.go, receives the events, and admission.go
+// admits or refuses each new request. Each of the remaining files holds one concern with its constants.
 package policy
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Engine decides for one gateway. It is not safe for concurrent use.
+// Engine makes the decisions of one gateway. It is not safe for concurrent use.
 type Engine struct {
 	cfg       Config
 	actions   Actions
@@ -16,54 +16,55 @@
 	startedAt time.Duration
 
 	requests map[RequestID]*request
-	orphans  map[RequestID]*request // finished ones with an attempt still in flight
+	orphans  map[RequestID]*request // finished requests with an attempt still in flight
 
 	customers    map[CustomerID]*customer
-	customerList []*customer // in order of arrival, so that the manager's pass is deterministic
+	customerList []*customer // in order of arrival, so that passes of the bandwidth manager are deterministic
 	bandwidth    bandwidthManager
 	overuse      overuseModel
 	reasons      reasonLog
 
 	endpoints    map[EndpointID]*endpoint
-	endpointList []*endpoint // the present ones by rank
-	readyWeight  float64     // summed weight of the ready endpoints
-
-	latencyRatio       float64       // smoothed latency over latency objective
-	overloaded         bool          // pressure is too high
-	gatewayLimit       float64       // units in flight that this gateway may have at all endpoints together
-	inFlight           int           // attempts at all endpoints together
-	inFlightUnits      float64       // and their units
-	pausedUntil        time.Duration // no forwarding before; set while limit is under one unit
-	latencyPerUnit     float64       // seconds, smoothed over all endpoints
-	retryTokens        float64
-	forwardRate        float64 // units a second forwarded to all endpoints, a slow average
-	forwardedUnits     float64 // since the last pass of the manager
-	admittedUnits      float64 // of all requests that the quotas have let in
-	demandRate         float64 // units a second of these, a fast average
-	admittedAtLastPass float64 // admittedUnits at the last pass of the manager
+	endpointList []*endpoint // listed endpoints in order of rank
+	readyWeight  float64     // total weight of the ready endpoints
+
+	latencyRatio       float64       // smoothed ratio of latency to latency objective
+	overloaded         bool          // latencyRatio shows overload, with hysteresis
+	gatewayLimit       float64       // limit on this gateway's units in flight at all endpoints together
+	inFlight           int           // attempts in flight at all endpoints together
+	inFlightUnits      float64       // units in flight at all endpoints together
+	pausedUntil        time.Duration // end of a pause in forwarding; set while gatewayLimit is below one unit
+	latencyPerUnit     float64       // seconds per unit, smoothed over all endpoints
+	retryTokens        float64       // retry budget; each retry takes one token
+	forwardRate        float64       // units per second forwarded to all endpoints, a slow moving average
+	forwardedUnits     float64       // units forwarded since the last pass of the bandwidth manager
+	admittedUnits      float64       // units of all requests admitted since the start
+	demandRate         float64       // units per second admitted, a fast moving average
+	admittedAtLastPass float64       // admittedUnits at the last pass of the bandwidth manager
 }
 
-// request is an admitted or queued request that still lacks its final answer.
+// request is the state of a request that has been submitted. It is kept until the request has its final
+// answer and none of its attempts is in flight.
 type request struct {
 	Request
 	class           *Class
 	customer        *customer
 	arrivedAt       time.Duration
-	deadline        time.Duration // of the final answer
-	queued          bool          // held, or waiting for an endpoint
+	deadline        time.Duration // time by which the final answer is due
+	queued          bool          // held by pacing, or waiting for an endpoint with capacity
 	forwarded       bool          // counted in the customer's usage
-	attempts        int
-	currentEndpoint *endpoint // of the present attempt, nil without one
-	currentAttempt  int       // its number
-	sentAt          time.Duration
-	responseStarted bool
-	limitLowered    bool      // this attempt has lowered the fleet limit
-	mayHaveRunOn    *endpoint // of the first attempt that may have been executed
-	mayHaveRunAt    time.Duration
+	attempts        int           // number of attempts so far
+	currentEndpoint *endpoint     // endpoint of the attempt in flight; nil if none is
+	currentAttempt  int           // index of the latest attempt
+	sentAt          time.Duration // start of the latest attempt
+	responseStarted bool          // an answer has begun to stream to the client
+	limitLowered    bool          // the latest attempt has already lowered the gateway limit
+	mayHaveRunOn    *endpoint     // endpoint of the first attempt that may have been executed, or nil
+	mayHaveRunAt    time.Duration // start of the first attempt that may have been executed
 	triedEndpoints  []EndpointID
 }
 
-// New returns an engine that knows nothing but its configuration.
+// New returns an engine without customers, endpoints or requests.
 func New(cfg Config, actions Actions) *Engine {
 	return &Engine{
 		cfg: cfg, actions: actions, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.GatewayIndex))),
@@ -73,7 +74,7 @@
 	}
 }
 
-// Start begins the engine's life at the given time.
+// Start starts the bandwidth manager and, if they must be polled, the endpoint updates.
 func (e *Engine) Start(now time.Duration) {
 	e.startedAt, e.bandwidth.lastRun = now, now
 	e.actions.StartTimer(bandwidthManagerPeriod, Timer{Kind: TimerBandwidthManager})
@@ -82,7 +83,7 @@
 	}
 }
 
-// Submit takes a client's request, which is owed one final answer.
+// Submit handles a new request of a client, which must get exactly one final answer.
 func (e *Engine) Submit(now time.Duration, req Request) {
 	if req.Class < 0 || req.Class >= len(e.cfg.Classes) || req.TimeLeft <= 0 {
 		e.reasons.record(RefusedInvalid)
@@ -99,7 +100,7 @@
 	e.admit(now, r)
 }
 
-// ResponseStarted tells that an answer has begun to stream to the client.
+// ResponseStarted records that an answer has begun to stream to the client.
 func (e *Engine) ResponseStarted(now time.Duration, id RequestID, attempt int, endpoint EndpointID) {
 	if ep := e.endpoints[endpoint]; ep != nil {
 		ep.lastResponseAt = now
@@ -109,9 +110,9 @@
 	}
 }
 
-// AttemptFinished takes the result of one attempt, and may start another.
+// AttemptFinished handles the result of one attempt and may start another attempt.
 func (e *Engine) AttemptFinished(now time.Duration, result AttemptResult) {
-	ep := e.endpoints[result.Endpoint] // releaseInFlight may forget it
+	ep := e.endpoints[result.Endpoint] // looked up first, because releaseInFlight may delete it
 	r := e.requests[result.Request]
 	current := r != nil && r.currentEndpoint != nil && r.currentAttempt == result.Attempt
 	units := 1.0
@@ -149,7 +150,7 @@
 	}
 }
 
-// ClientDisconnected tells that the client has gone and is owed nothing any more.
+// ClientDisconnected handles the loss of a client, whose request needs no answer any more.
 func (e *Engine) ClientDisconnected(_ time.Duration, id RequestID) {
 	r := e.requests[id]
 	if r == nil {
@@ -161,7 +162,8 @@
 	e.removeRequest(r)
 }
 
-// BeginShutdown brings the deadline of each open request forward to answerBy. Later ones bring their own.
+// BeginShutdown moves the deadline of each open request forward to answerBy. It does not change the deadlines
+// of requests that are submitted later.
 func (e *Engine) BeginShutdown(now, answerBy time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(e.requests)) {
 		r := e.requests[id]
@@ -172,7 +174,7 @@
 	}
 }
 
-// TimerFired tells that a timer is due. One that is no longer pending is ignored.
+// TimerFired handles a timer that is due. A timer that is no longer pending is ignored.
 func (e *Engine) TimerFired(now time.Duration, timer Timer) {
 	if !e.TimerPending(timer) {
 		return
@@ -193,7 +195,7 @@
 	}
 }
 
-// TimerPending reports whether a timer would still have an effect. One that would not may be dropped.
+// TimerPending reports whether a timer would still have an effect. A timer that would not may be dropped.
 func (e *Engine) TimerPending(timer Timer) bool {
 	r := e.requests[timer.Request]
 	switch timer.Kind {
@@ -205,7 +207,8 @@
 	return true
 }
 
-// removeRequest forgets a request that has its final answer or needs none.
+// removeRequest removes a request that has its final answer or needs none. While an attempt of it is in
+// flight, it stays among the orphans, so that the units of the attempt can be released.
 func (e *Engine) removeRequest(r *request) {
 	if r.queued {
 		r.queued = false
@@ -220,7 +223,7 @@
 	delete(e.requests, r.ID)
 }
 
-// seconds converts to a duration; what is not a number or too large becomes a million seconds.
+// seconds converts seconds to a duration. NaN and values of 1e6 and more become a million seconds.
 func seconds(s float64) time.Duration {
 	if !(s < 1e6) {
 		return 1e6 * time.Second
--- a/policy/types.go
+++ b/policy/types.go
@@ -2,76 +2,76 @@
 
 import "time"
 
-// RequestID names one request of a client. Ids are never reused.
+// RequestID identifies one request of a client. IDs are never reused.
 type RequestID uint32
 
-// EndpointID names an upstream server. It carries no meaning of its own.
+// EndpointID identifies an upstream server. Its value has no further meaning.
 type EndpointID uint32
 
-// CustomerID names a customer.
+// CustomerID identifies a customer.
 type CustomerID uint64
 
-// Idempotency says how often a request of a class may take effect.
+// Idempotency says whether a request of a class may be executed more than once.
 type Idempotency uint8
 
-// The kinds of idempotency.
+// The values of Idempotency.
 const (
 	Idempotent      Idempotency = iota // may be executed any number of times
-	IdempotentByKey                    // repeats with the same key are dropped for a while, within a KeyScope
+	IdempotentByKey                    // endpoints in a KeyScope discard repeats with the same key for KeyTTL
 	NonIdempotent                      // must not be sent again once it may have been executed
 )
 
-// KeyScope says which endpoints share the idempotency keys that they have seen.
+// KeyScope is the group of endpoints that share the idempotency keys they have seen.
 type KeyScope uint8
 
-// The scopes of idempotency keys.
+// The values of KeyScope.
 const (
 	KeyScopeFleet KeyScope = iota // all endpoints
-	KeyScopeZone                  // those of a zone
-	KeyScopeCell                  // those of a cell
+	KeyScopeZone                  // the endpoints of one zone
+	KeyScopeCell                  // the endpoints of one cell
 )
 
 // Class describes a class of requests.
 type Class struct {
 	LatencyObjective time.Duration // an answer within this time earns its full value
-	PriorityWeight   float64       // value of a unit of this class
+	PriorityWeight   float64       // value of one unit of this class
 	Idempotency      Idempotency
 	KeyScope         KeyScope
-	KeyTTL           time.Duration // how long keys are remembered, from the first attempt that may have run
+	KeyTTL           time.Duration // how long a key is remembered, from the first attempt that may have run
 }
 
-// Plan is a quota contract. It holds for each of its customers over all gateways together.
+// Plan is a quota contract. Its limits hold for each of its customers, over all gateways together.
 type Plan struct {
-	QuotaRate      float64 // units a second; 0 means no such quota
-	Burst          float64 // units that may be used at once
-	CeilingRate    float64 // hard limit, units a second; 0 means none
-	CeilingBurst   float64 // units that may be used at once under the hard limit
-	MaxConcurrent  float64 // attempts in flight; 0 means no such quota
+	QuotaRate      float64 // quota, in units per second; 0: no rate quota
+	Burst          float64 // capacity of the quota's token bucket, in units
+	CeilingRate    float64 // hard limit, in units per second; 0: no ceiling
+	CeilingBurst   float64 // capacity of the ceiling's token bucket, in units
+	MaxConcurrent  float64 // quota of attempts in flight; 0: no concurrency quota
 	PriceFactor    float64 // factor on the value of a unit
-	OverQuotaValue float64 // share of the value that is earned over quota
-	OverQuotaCost  float64 // share of the value that each request forwarded over quota costs
+	OverQuotaValue float64 // share of its value that a request forwarded over quota earns
+	OverQuotaCost  float64 // share of its value that a request forwarded over quota costs
 }
 
-// Config is what an engine is told at its start.
+// Config is the configuration that an engine receives at its start.
 type Config struct {
-	GatewayIndex int    // this gateway's number, from 0
-	GatewayCount int    // gateways of the fleet
-	Zone         int    // this gateway's zone
-	Seed         uint64 // for its random numbers
+	GatewayIndex int    // index of this gateway in the fleet, from 0
+	GatewayCount int    // number of gateways in the fleet
+	Zone         int    // zone of this gateway
+	Seed         uint64 // seed of the engine's random numbers
 	Classes      []Class
 	Plans        []Plan
 
-	MeterPeriod     time.Duration // metering period of the usage that answers carry; 0: they carry none
-	MaxRequestUnits float64       // most units of one request; 0: not known
-	CanCancel       bool          // CancelAttempt may be used
-	MaxAttempts     int           // most attempts of a request; 0: unlimited
-	MaxOpenRequests int           // most requests without their final answer; 0: unlimited
-	SendRetryAfter  bool          // clients are shown the Retry-After of a rejection
-	MaxRetryAfter   time.Duration // longest Retry-After that clients heed
-	PolledEndpoints bool          // endpoint updates must be asked for with WatchEndpoints
-
-	// An endpoint warms up: it starts at WarmUpInitialCapacity of its capacity at least and has all of it after
-	// WarmUpDuration. Until then it fails when it gets more than WarmUpOverloadFactor times its present
+	MeterPeriod     time.Duration // metering period of the usage that answers carry; 0: answers carry no usage
+	MaxRequestUnits float64       // most units of one request; 0: unknown
+	CanCancel       bool          // the engine may use Actions.CancelAttempt
+	MaxAttempts     int           // most attempts of one request; 0: unlimited
+	MaxOpenRequests int           // most requests without a final answer at this gateway; 0: unlimited
+	SendRetryAfter  bool          // clients receive the Retry-After of a rejection
+	MaxRetryAfter   time.Duration // longest Retry-After that clients follow
+	PolledEndpoints bool          // endpoint updates arrive only after Actions.WatchEndpoints
+
+	// An endpoint that has just started has at least WarmUpInitialCapacity of its full capacity, and all of it
+	// after WarmUpDuration. Until then it fails if its load exceeds WarmUpOverloadFactor times its present
 	// capacity for WarmUpOverloadWindow.
 	WarmUpInitialCapacity float64
 	WarmUpDuration        time.Duration
@@ -79,120 +79,123 @@
 	WarmUpOverloadWindow  time.Duration
 }
 
-// Request is one request of a client; a client's own retry is another one.
+// Request is one request of a client. A retry by the client is a new Request.
 type Request struct {
 	ID       RequestID
 	Class    int // index in Config.Classes
 	Plan     int // index in Config.Plans
 	Customer CustomerID
-	TimeLeft time.Duration // until the client gives up
-	Units    float64       // what the request takes from the quota, perhaps a guess
-	SetSize  int           // number of gateways that carry this customer
-	SetFirst int           // the first of them; the others follow in turn
+	TimeLeft time.Duration // time until the client gives up
+	Units    float64       // units that the request takes from the quota; may be an estimate
+	SetSize  int           // number of gateways that serve this customer
+	SetFirst int           // index of the first of these gateways; the others follow, wrapping around
 }
 
-// Status tells how an attempt ended.
+// Status is the outcome of an attempt.
 type Status uint8
 
-// The statuses of an attempt.
+// The values of Status.
 const (
-	StatusOK            Status = iota // answered
-	StatusServerError                 // failed; may have been executed
-	StatusRejected                    // rejected by the endpoint; never executed
-	StatusTimedOut                    // no answer in time; may have been executed
-	StatusConnectFailed               // no connection; never executed
-	StatusReset                       // connection lost; may have been executed
-	StatusCancelled                   // given up by the gateway; may have been executed
-	StatusNotSent                     // never sent
-	StatusLocalFailure                // never sent, since the gateway's machine lacked something for a moment
+	StatusOK            Status = iota // the endpoint answered
+	StatusServerError                 // the endpoint failed; the attempt may have been executed
+	StatusRejected                    // the endpoint rejected the attempt; never executed
+	StatusTimedOut                    // no answer arrived in time; the attempt may have been executed
+	StatusConnectFailed               // no connection could be made; never executed
+	StatusReset                       // the connection was lost; the attempt may have been executed
+	StatusCancelled                   // the gateway cancelled the attempt; it may have been executed
+	StatusNotSent                     // the attempt was never sent
+	StatusLocalFailure                // never sent: the gateway's machine was short of a resource for a moment
 )
 
-// LoadReport is an endpoint's load report. A value that is not reported is below 0. The present policy does
-// without load reports.
+// LoadReport is the load that an endpoint reports. Values that it does not report are negative. The engine
+// ignores load reports.
 type LoadReport struct {
-	Present     bool
+	Present     bool    // the answer carried a load report
 	InFlight    float64 // requests in service
 	Queued      float64 // requests waiting
-	Utilization float64 // share of its processors in use
-	Latency     float64 // mean, in seconds
-	Rate        float64 // requests a second
-	Errors      float64 // errors a second
+	Utilization float64 // share of the processors in use
+	Latency     float64 // mean latency, in seconds
+	Rate        float64 // requests per second
+	Errors      float64 // errors per second
 }
 
-// AttemptResult tells how one attempt ended.
+// AttemptResult is the result of one attempt.
 type AttemptResult struct {
 	Request     RequestID
-	Attempt     int // number of the attempt, from 0
+	Attempt     int // index of the attempt within its request, from 0
 	Endpoint    EndpointID
 	Status      Status
 	Latency     time.Duration
 	RequestDone bool    // the request has its final answer
-	HasUsage    bool    // Usage is set
-	Usage       float64 // the customer's usage over all gateways, as a share of its quota
+	HasUsage    bool    // Usage holds a reading
+	Usage       float64 // the customer's metered usage over all gateways, as a share of its quota
 	LoadReport  LoadReport
 }
 
-// EndpointState is an endpoint's state in the endpoint list.
+// EndpointState is the state of an endpoint in the endpoint list.
 type EndpointState uint8
 
-// The states of an endpoint.
+// The values of EndpointState.
 const (
-	StateRemoved  EndpointState = iota // gone; it gets nothing
-	StateReady                         // takes requests
-	StateDraining                      // completes its requests and gets no new ones
+	StateRemoved  EndpointState = iota // the endpoint is gone and receives nothing
+	StateReady                         // the endpoint accepts requests
+	StateDraining                      // the endpoint completes its open requests and receives no new ones
 )
 
 // Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	ID        EndpointID
-	Weight    float64 // relative capacity; 0: not known
+	Weight    float64 // relative capacity; 0: unknown
 	State     EndpointState
 	Zone      int
 	Cell      int
-	StartedAt time.Duration // when its process last started; 0: long ago
+	StartedAt time.Duration // last start of its process; 0: long ago
 }
 
-// UpdateKind tells what an update of the endpoint list holds.
+// UpdateKind says what an update of the endpoint list contains.
 type UpdateKind uint8
 
-// The kinds of update.
+// The values of UpdateKind.
 const (
-	UpdateDelta  UpdateKind = iota // changed entries only
+	UpdateDelta  UpdateKind = iota // only the changed entries
 	UpdateFull                     // the complete list
-	UpdateCached                   // the complete list as last known, perhaps outdated
-	UpdateFailed                   // nothing: a call for the list failed
+	UpdateCached                   // the complete list as last known, possibly outdated
+	UpdateFailed                   // no entries, because a call for the list failed
 )
 
-// TimerKind says what a timer is for.
+// TimerKind is the purpose of a timer.
 type TimerKind uint8
 
-// The kinds of timer.
+// The values of TimerKind.
 const (
-	TimerBandwidthManager TimerKind = iota + 1 // the bandwidth manager's next pass
+	TimerBandwidthManager TimerKind = iota + 1 // the next pass of the bandwidth manager is due
 	TimerRelease                               // a queued request leaves the queue
-	TimerSilence                               // an attempt should have been answered
-	TimerWatch                                 // the endpoint list is asked for again
+	TimerSilence                               // an attempt is checked that should have been answered
+	TimerWatch                                 // endpoint updates are requested again after a failed call
 )
 
-// Timer names a timer. Request and Attempt are those that it belongs to, where there are any.
+// Timer identifies a timer. Request and Attempt are set if the timer belongs to a request or an attempt.
 type Timer struct {
 	Kind    TimerKind
 	Request RequestID
 	Attempt int
 }
 
-// Actions carries out the engine's decisions. Times are on the axis of the times that the engine is given.
+// Actions carries out the decisions of an engine. Points in time refer to the same clock as the times of the
+// events.
 type Actions interface {
-	// Forward starts an attempt at an endpoint. It is given up at the given time; 0 means when the client does.
+	// Forward starts an attempt at an endpoint. The attempt is given up at giveUpAt, or if that is 0, when the
+	// client gives up.
 	Forward(id RequestID, endpoint EndpointID, giveUpAt time.Duration)
-	// Reject gives a request its final answer: nothing has been executed, and a retry is harmless.
+	// Reject gives a request its final answer and tells the client that nothing has been executed and that a
+	// retry is safe.
 	Reject(id RequestID, retryAfter time.Duration)
-	// Fail gives a request its final answer and promises nothing.
+	// Fail gives a request its final answer without stating whether it has been executed.
 	Fail(id RequestID)
-	// CancelAttempt gives an attempt up. Its result, StatusCancelled, follows as an event.
+	// CancelAttempt cancels an attempt. Its result, with StatusCancelled, follows as an event.
 	CancelAttempt(id RequestID, attempt int)
-	// StartTimer asks for a TimerFired event.
+	// StartTimer requests a TimerFired event after the given time.
 	StartTimer(after time.Duration, timer Timer)
-	// WatchEndpoints asks for endpoint updates, or for no more of them.
+	// WatchEndpoints turns endpoint updates on or off.
 	WatchEndpoints(on bool)
 }
