--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// maxQueueDelayShare is the longest hold, as a share of the class's latency objective.
+// maxQueueDelayShare is the longest time in the queue, as a share of the class's latency objective.
 const maxQueueDelayShare = 0.5
 
-// admit is the ordinary path of a request: quota rule, ceiling, hold, dispatch. Soft plans, whose use beyond
-// the quota earns more than it costs, meet the quota rule only under overload.
+// admit decides on a new request by the limit on open requests, the quota, the ceiling and the pacing delay.
+// An admitted request is dispatched, now or after its delay. Plans whose usage over quota earns more than it
+// costs are held to the quota only under overload.
 func (e *Engine) admit(now time.Duration, r *request) {
 	e.updateCustomer(now, r.customer)
 	e.overuse.recordRequest(r)
@@ -38,8 +39,9 @@
 	e.enqueue(r, delay)
 }
 
-// admissionDelay is how long a request is held for the ceiling, of which this gateway must have a share, and
-// under overload by the paper's formula.
+// admissionDelay is how long a request must be queued: until this gateway's share of the ceiling covers it,
+// and under overload for the pacing delay of the paper. Where the plan has a ceiling, admission is possible
+// only at the gateways that serve the customer, since only they have a share of the ceiling.
 func (e *Engine) admissionDelay(now time.Duration, r *request) (delay time.Duration, possible bool) {
 	c := r.customer
 	if c.plan.CeilingRate > 0 {
@@ -57,17 +59,20 @@
 	return delay, true
 }
 
+// maxQueueDelay is the longest time that a request may spend in the queue.
 func (r *request) maxQueueDelay() time.Duration {
 	return time.Duration(maxQueueDelayShare * float64(r.class.LatencyObjective))
 }
 
+// enqueue queues a request, which is dispatched after the delay.
 func (e *Engine) enqueue(r *request, delay time.Duration) {
 	r.queued = true
 	r.customer.queuedRequests++
 	e.actions.StartTimer(delay, Timer{Kind: TimerRelease, Request: r.ID})
 }
 
-// finish gives the final answer: a rejection while the client may safely retry, else a failure.
+// finish gives a request its final answer: a rejection while a retry by the client is safe, otherwise a
+// failure. The Retry-After of a rejection is the time in which the quota earns the units of the request.
 func (e *Engine) finish(r *request, reason Reason) {
 	e.reasons.record(reason)
 	if r.canReject() {
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// customer is what the gateway knows of one customer (paper, Table I).
+// customer is the state of a customer at this gateway (paper, Table I).
 type customer struct {
 	id          CustomerID
 	plan        *Plan
-	planOveruse *overuseStats // of the plan
-	setSize     float64       // gateways that carry the customer
-	inSet       bool          // this gateway is one of them
-	lastSeen    time.Duration // last event of any kind
-	active      bool          // forwarded something since the manager's last pass
+	planOveruse *overuseStats // statistics on the usage over quota of the plan
+	setSize     float64       // number of gateways that serve the customer
+	inSet       bool          // this gateway is one of those that serve the customer
+	lastSeen    time.Duration // arrival of the last request
+	active      bool          // a request was forwarded since the last pass of the bandwidth manager
 
-	hasReading  bool
-	meteredRate float64       // last reading of the usage over all gateways, units a second
-	meteredAt   time.Duration // when it came
-	avgUsageAt  time.Duration // up to which period readings are in avgUsage
-	avgUsage    float64       // the paper's b̂, units a second
+	hasReading  bool          // the last reading of the meter is valid
+	meteredRate float64       // last reading of the usage over all gateways, in units per second
+	meteredAt   time.Duration // arrival of the last reading
+	avgUsageAt  time.Duration // time up to which readings are included in avgUsage
+	avgUsage    float64       // smoothed usage over all gateways, in units per second; b̂ of the paper
 
-	updatedAt          time.Duration // up to where the buckets are refilled and drained
+	updatedAt          time.Duration // time up to which the averages and buckets are updated
 	meteredBucket      tokenBucket   // quota left over all gateways, drained by metered usage
-	gatewayBucket      tokenBucket   // this gateway's observed share of the quota, drained by own units
-	estimatedBucket    tokenBucket   // quota left over all gateways, estimated from own units
-	ceilingBucket      tokenBucket   // this gateway's even share of the ceiling, if there is one
-	lastEstimatedUnits float64       // what the last request took from estimatedBucket
-	rejectProbability  float64       // the design's p
+	gatewayBucket      tokenBucket   // this gateway's observed share of the quota, drained by its units
+	estimatedBucket    tokenBucket   // quota left over all gateways, estimated from units admitted here
+	ceilingBucket      tokenBucket   // this gateway's even share of the ceiling, if the plan has one
+	lastEstimatedUnits float64       // units of the last admitted request, scaled from this gateway to all
+	rejectProbability  float64       // probability that a request is rejected while meteredBucket is empty
 
-	admissionDraw   float64       // last random draw for a request of unknown usage, 0 for none
-	admissionDrawAt time.Duration // when it was drawn
-	recentUnits     float64       // units forwarded from here, a sum that decays over the meter's lag
-	laggedUnits     float64       // the same, as late as the meter and averaged for longer
-	laggedUsage     float64       // the metered usage over that time
+	admissionDraw   float64       // last random draw for a request of unknown usage; 0: none
+	admissionDrawAt time.Duration // time of admissionDraw
+	recentUnits     float64       // units forwarded here, a sum that decays over the meter lag
+	laggedUnits     float64       // units forwarded here, delayed like the meter and averaged over several lags
+	laggedUsage     float64       // metered usage, averaged over the same time as laggedUnits
 
-	lastReleaseAt  time.Duration // when the last held request leaves
-	openRequests   int           // forwarded and not finished
-	queuedRequests int
+	lastReleaseAt  time.Duration // time at which the last delayed request leaves the queue
+	openRequests   int           // requests forwarded and not finished
+	queuedRequests int           // requests in the queue
 }
 
-// customerFor returns the customer of a request, new ones with full quota buckets.
+// customerFor returns the customer of a request. A new customer starts with full quota buckets.
 func (e *Engine) customerFor(now time.Duration, req *Request) *customer {
 	c := e.customers[req.Customer]
 	if c == nil {
@@ -51,20 +51,23 @@
 	return c
 }
 
+// newCustomer returns the initial state of a customer. A plan that is not configured has neither quota nor
+// ceiling.
 func (e *Engine) newCustomer(now time.Duration, req *Request) *customer {
 	plan, stats := &Plan{}, &e.overuse.plans[len(e.cfg.Plans)]
 	if req.Plan >= 0 && req.Plan < len(e.cfg.Plans) {
 		plan, stats = &e.cfg.Plans[req.Plan], &e.overuse.plans[req.Plan]
 	}
 	gateways, size := max(1, e.cfg.GatewayCount), max(1, req.SetSize)
-	position := ((e.cfg.GatewayIndex-req.SetFirst)%gateways + gateways) % gateways // in the set, counted round
+	position := ((e.cfg.GatewayIndex-req.SetFirst)%gateways + gateways) % gateways // index in the customer's set
 	c := &customer{
 		id: req.Customer, plan: plan, planOveruse: stats, setSize: float64(size),
 		inSet: position < size, updatedAt: now,
 		meteredBucket: tokenBucket{plan.Burst}, estimatedBucket: tokenBucket{plan.Burst},
 	}
-	// This gateway's share of the ceiling was empty when the engine started, for that may be a restart, and
-	// has filled since: nothing was forwarded. The sum of all shares stays below the ceiling.
+	// The engine's start may be a restart after which earlier usage is unknown, so this gateway's share of the
+	// ceiling counts as empty at that time. It has filled since, because nothing was forwarded. This keeps the
+	// sum of the shares of all gateways below the ceiling.
 	filled := plan.CeilingRate * (now - e.startedAt).Seconds()
 	c.ceilingBucket.tokens = min(plan.CeilingBurst, filled) / c.setSize
 	c.gatewayBucket.tokens = e.gatewayBurst(c)
--- a/policy/metering.go
+++ b/policy/metering.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	usageSmoothing      = 0.3  // paper, eq. 2: weight of a new reading in the average usage
-	meterLagPeriods     = 1.75 // a reading trails the usage by about this many metering periods
-	shareAveragingLags  = 3.0  // this gateway's share of the usage is averaged over this many lags
-	readingValidPeriods = 3    // a reading is valid for this many metering periods,
-	readingValidUnits   = 4    // and while the quota over one gateway's even split earns this many units
+	usageSmoothing      = 0.3  // weight of a new reading in the average usage (paper, eq. 2)
+	meterLagPeriods     = 1.75 // lag of a reading behind the usage, in metering periods
+	shareAveragingLags  = 3.0  // averaging time of this gateway's share of the usage, in meter lags
+	readingValidPeriods = 3    // least validity of a reading, in metering periods
+	readingValidUnits   = 4    // least validity of a reading, in units that an even split of the quota earns
 )
 
+// meterLagSeconds is the time by which a reading lags behind the usage.
 func (e *Engine) meterLagSeconds() float64 { return meterLagPeriods * e.cfg.MeterPeriod.Seconds() }
 
-// recordReading takes the usage that an answer carries.
+// recordReading handles the reading of the usage that an answer may carry.
 func (e *Engine) recordReading(now time.Duration, r *request, result AttemptResult, current bool) {
 	c := r.customer
 	if !result.HasUsage || c.plan.QuotaRate <= 0 || e.cfg.MeterPeriod <= 0 {
@@ -27,8 +28,8 @@
 	}
 }
 
-// recordUsage takes a reading of a customer's usage over all gateways, as a share of its quota. It goes by
-// time: it does not matter how many answers carry the same reading.
+// recordUsage handles a reading of a customer's usage over all gateways, as a share of its quota. The
+// averages advance with time, so it does not matter how many answers carry the same reading.
 func (e *Engine) recordUsage(now time.Duration, c *customer, quotaShare float64) {
 	e.updateCustomer(now, c)
 	rate := quotaShare * c.plan.QuotaRate
@@ -42,14 +43,16 @@
 	c.avgUsage += usageSmoothing * (rate - c.avgUsage)
 	periods := 1.0
 	if firstOverQuota {
-		// Its bucket has emptied unseen, and that took as many periods as the burst lasts.
+		// The usage exceeded the quota before this first reading: the bucket has run empty, which took as many
+		// metering periods as the quota rate needs to earn the burst.
 		c.meteredBucket.tokens = 0
 		periods = c.plan.Burst / c.plan.QuotaRate / e.cfg.MeterPeriod.Seconds()
 	}
 	c.updateRejectProbability(periods)
 }
 
-// updateRejectProbability sets the design's p = max(0, 1-(1-p)·quota/usage) for periods at the last reading.
+// updateRejectProbability applies p = max(0, 1-(1-p)·quota/usage) once for each of the given metering
+// periods, with the usage of the last reading.
 func (c *customer) updateRejectProbability(periods float64) {
 	if c.meteredRate <= 0 {
 		c.rejectProbability = 0
@@ -59,7 +62,7 @@
 	c.rejectProbability = max(0, 1-admitProbability)
 }
 
-// updateCustomer brings a customer's readings, averages and buckets up to now.
+// updateCustomer brings a customer's reading, averages and buckets up to date.
 func (e *Engine) updateCustomer(now time.Duration, c *customer) {
 	elapsed := (now - c.updatedAt).Seconds()
 	if elapsed <= 0 {
@@ -71,7 +74,8 @@
 	e.refillBuckets(c, elapsed)
 }
 
-// refreshReading lets the last reading stand for periods of which no answer tells, and drops it in the end.
+// refreshReading drops a reading that is no longer valid. A valid reading also stands for the later metering
+// periods for which no answer carried one.
 func (e *Engine) refreshReading(now time.Duration, c *customer) {
 	validFor := max(readingValidPeriods*e.cfg.MeterPeriod, seconds(readingValidUnits*c.setSize/c.plan.QuotaRate))
 	if c.hasReading && now-c.meteredAt > validFor {
@@ -85,7 +89,8 @@
 	}
 }
 
-// updateShareAverages averages the units forwarded from here and the metered usage over the meter's lag.
+// updateShareAverages updates the averages from which usageShare follows. The units forwarded here are
+// delayed by the meter lag, so that they cover the same time as the metered usage.
 func (e *Engine) updateShareAverages(c *customer, elapsed float64) {
 	lag := e.meterLagSeconds()
 	if lag <= 0 {
@@ -97,11 +102,13 @@
 	c.laggedUsage = c.laggedUsage*decay + c.meteredRate*elapsed
 }
 
-// usageShare is this gateway's observed share of a customer's usage, first an even split.
+// usageShare is this gateway's observed share of a customer's usage. Without observations it is an even split
+// among the customer's gateways.
 func (e *Engine) usageShare(c *customer) float64 {
 	priorUsage := c.plan.QuotaRate * meterLagPeriods * e.cfg.MeterPeriod.Seconds() * shareAveragingLags / 4
-	// Without usage in the metered period the customer has begun since. Spread over many gateways it hardly uses
-	// this one alone, which would be granted nearly the whole quota.
+	// A reading without usage means that the customer became active after the metered period. All of its
+	// observed usage is then at this gateway, which would be granted nearly the whole quota, although a sparsely
+	// spread customer hardly uses one gateway alone.
 	newlyActive := c.meteredRate <= 0 && c.sparselySpread()
 	if priorUsage <= 0 || !c.hasReading || newlyActive {
 		return 1 / c.setSize
--- a/policy/overuse.go
+++ b/policy/overuse.go
@@ -6,45 +6,47 @@
 )
 
 const (
-	maxOveruseCost         = 0.1              // the most that overuse may cost (FLEET page, over_quota)
-	assumedOverQuotaShare  = 0.4              // share of the requested value over quota: 0.21 to 0.41 measured
-	assumedOverQuotaFactor = 4.0              // what a customer over its quota requests, over that quota
-	overuseDecay           = 20 * time.Second // time constant of what readings tell
-	overusePriorWeight     = 10.0             // readings that weigh as much as the prior
+	maxOveruseCost         = 0.1              // acceptable cost of usage over quota, per requested value
+	assumedOverQuotaShare  = 0.4              // assumed share of the value over quota; observed: 0.21 to 0.41
+	assumedOverQuotaFactor = 4.0              // assumed demand of a customer over quota, as a multiple of it
+	overuseDecay           = 20 * time.Second // time constant with which the sums over readings decay
+	overusePriorWeight     = 10.0             // weight of the prior, as a number of readings
 	overuseCostTarget      = 0.4              // share of maxOveruseCost above which readings lower admission
-	allowanceExponent      = 4                // how fast the allowance grows with the admit probability
-	minRejectProbability   = 1e-3             // keeps the allowance finite where next to nothing is rejected
+	allowanceExponent      = 4                // power of the admit probability in the allowance
+	minRejectProbability   = 1e-3             // keeps admission factors finite where next to nothing is rejected
 )
 
-// overuseModel estimates what requests of customers of unknown usage cost if they turn out to be over quota,
-// and so how many of them may be admitted. All sums are of this gateway alone.
+// overuseModel estimates what requests of customers of unknown usage cost if the customers turn out to be
+// over quota, and hence how many of these requests may be admitted. All sums cover this gateway alone.
 type overuseModel struct {
-	typicalUnits          float64        // of a request
-	meterPeriodSeconds    float64        // the metering period
+	typicalUnits          float64        // units of a typical request
+	meterPeriodSeconds    float64        // metering period, in seconds
 	requestedValue        float64        // value of all requests
-	potentialCost         float64        // what it would cost if it were all over quota
-	weightedPotentialCost float64        // that cost weighted by itself
-	plans                 []overuseStats // by plan; the last one is of plans that are not known
-	meteredValue          float64        // value forwarded for sparsely spread customers with a reading, decaying;
-	meteredCost           float64        // what overuse has cost of it by these readings;
-	meteredRequests       float64        // and how many requests these are
+	potentialCost         float64        // cost of all requests if all of them were over quota
+	weightedPotentialCost float64        // sum of potential costs, each weighted by its OverQuotaCost
+	plans                 []overuseStats // statistics by plan; the last element is for unknown plans
+	meteredValue          float64        // value forwarded for sparsely spread customers with a reading; decays
+	meteredCost           float64        // cost of usage over quota in meteredValue, by these readings; decays
+	meteredRequests       float64        // number of requests in meteredValue; decays
 }
 
-// overuseStats is what readings tell of a plan's forwarded units, sums that decay.
+// overuseStats holds how many units of a plan were forwarded for customers with a reading, and how many of
+// them were over quota. Both sums decay.
 type overuseStats struct{ units, overQuotaUnits float64 }
 
+// newOveruseModel returns a model without observations.
 func newOveruseModel(cfg *Config) overuseModel {
 	return overuseModel{typicalUnits: max(1, cfg.MaxRequestUnits) / 2,
 		meterPeriodSeconds: cfg.MeterPeriod.Seconds(),
 		plans:              make([]overuseStats, len(cfg.Plans)+1)}
 }
 
-// inQuotaValue is what a request earns inside its customer's quota.
+// inQuotaValue is what a request earns within its customer's quota.
 func (r *request) inQuotaValue() float64 {
 	return r.Units * r.class.PriorityWeight * r.customer.plan.PriceFactor
 }
 
-// recordRequest counts a request that has arrived, client retries included.
+// recordRequest counts a request that has arrived. Retries by clients count too.
 func (m *overuseModel) recordRequest(r *request) {
 	value, cost := r.inQuotaValue(), r.customer.plan.OverQuotaCost
 	m.requestedValue += value
@@ -52,8 +54,9 @@
 	m.weightedPotentialCost += value * cost * cost
 }
 
-// recordMetered enters a forwarded request whose customer has a reading. A typical request is added to usage
-// and quota: where the quota of a period holds one or two, every other one would seem to be over it.
+// recordMetered counts a forwarded request whose customer has a reading. It adds a typical request to both
+// usage and quota: where the quota of a metering period holds only one or two requests, every other request
+// would otherwise seem to be over quota.
 func (m *overuseModel) recordMetered(r *request) {
 	c := r.customer
 	typicalRate := m.typicalUnits / m.meterPeriodSeconds
@@ -66,6 +69,7 @@
 	c.planOveruse.overQuotaUnits += r.Units * overQuotaShare
 }
 
+// decay reduces the sums over readings exponentially with the elapsed time.
 func (m *overuseModel) decay(elapsed time.Duration) {
 	factor := math.Exp(-elapsed.Seconds() / overuseDecay.Seconds())
 	m.meteredValue *= factor
@@ -76,8 +80,9 @@
 	}
 }
 
-// admitProbability is for a typical request of unknown usage. At it overuse costs maxOveruseCost, if
-// assumedOveruse of the value is over quota and its customers use one part in assumedExcess inside theirs.
+// admitProbability is the probability with which a typical request of unknown usage is admitted. With it,
+// usage over quota costs maxOveruseCost if assumedOverQuotaShare of the value is requested over quota, by
+// customers who use one part in assumedOverQuotaFactor within their quotas.
 func (m *overuseModel) admitProbability() float64 {
 	if m.potentialCost <= maxOveruseCost/assumedOverQuotaShare*m.requestedValue {
 		return 1
@@ -86,7 +91,7 @@
 		(1-1/assumedOverQuotaFactor)*maxOveruseCost/assumedOverQuotaShare*m.requestedValue/m.potentialCost
 }
 
-// planOveruseRatio is the share of a plan's units over quota, relative to that of all plans.
+// planOveruseRatio is the share of a plan's units over quota, relative to that share over all plans.
 func (m *overuseModel) planOveruseRatio(plan *overuseStats) float64 {
 	var all overuseStats
 	for _, stats := range m.plans {
@@ -100,24 +105,28 @@
 	return (plan.overQuotaUnits + prior*mean) / (plan.units + prior) / mean
 }
 
-// correction lowers admission where readings tell that overuse costs too much: no setting tells how often
-// clients retry elsewhere. It never raises it, for a few answers would then admit far too much.
+// correction is a factor of at most 1 that lowers admission where readings show that usage over quota costs
+// too much. The model alone cannot tell, since no setting states how often clients retry at other gateways.
+// The factor never raises admission, because a few answers would then admit far too much.
 func (m *overuseModel) correction() float64 {
 	if m.meteredValue <= 0 {
 		return 1
 	}
-	// The limit is a share of what is requested; what is forwarded of it grows with the probability.
+	// The cost limit is a share of the requested value. The readings cover the forwarded part of it, which grows
+	// with the admit probability.
 	relativeCost := m.meteredCost / m.meteredValue * m.admitProbability() / (overuseCostTarget * maxOveruseCost)
 	return min(1, (m.meteredRequests+overusePriorWeight)/(m.meteredRequests*relativeCost+overusePriorWeight))
 }
 
-// allowance is by how much more than an even share may be admitted: next to nothing while much is rejected.
+// allowance is the factor by which more than an even share may be admitted. It is close to 1 while a large
+// part of the requests is rejected.
 func (m *overuseModel) allowance() float64 {
 	return 1 / max(minRejectProbability, 1-math.Pow(m.admitProbability(), allowanceExponent))
 }
 
-// overcommitFactor is how many times over the split of a sparsely spread customer is granted: it holds no
-// request, and would lock the customer out for minutes, also where overuse costs little.
+// overcommitFactor is the factor on the quota that is granted to a sparsely spread customer of unknown usage.
+// An even split of the quota holds less than a request, and alone would lock the customer out for minutes,
+// even where usage over quota costs little.
 func (e *Engine) overcommitFactor(c *customer) float64 {
 	if c.hasReading || !c.sparselySpread() || c.plan.OverQuotaCost <= 0 {
 		return 1
@@ -125,9 +134,11 @@
 	return 1 / max(minRejectProbability, 1-e.overuse.admitProbability())
 }
 
-// rejectsUnknownUsage rejects a part of the requests of sparsely spread customers of unknown usage: the first at
-// each gateway would be all that a greedy customer needs. Large requests and dear overuse weigh more. A draw
-// stays until an even split of the quota has earned a request, or retries would get through everywhere.
+// rejectsUnknownUsage decides by chance whether a request of a sparsely spread customer of unknown usage is
+// rejected. Otherwise the first request at each gateway would be admitted, and a greedy customer needs no
+// others. Rejection is more likely for large requests and for plans whose usage over quota is costly or
+// frequent. A random draw is kept until an even split of the quota has earned the request, or retries would
+// eventually be admitted everywhere.
 func (e *Engine) rejectsUnknownUsage(now time.Duration, r *request) bool {
 	c, m := r.customer, &e.overuse
 	if !c.sparselySpread() || c.plan.OverQuotaCost <= 0 {
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -3,25 +3,26 @@
 import "time"
 
 const (
-	bandwidthManagerPeriod = 500 * time.Millisecond // paper, V.B: every half to one second
-	maxEvictedUsageShare   = 0.01                   // share of its quota below which a quiet customer is forgotten
+	bandwidthManagerPeriod = 500 * time.Millisecond // the paper (V.B) asks for 0.5 to 1 second
+	maxEvictedUsageShare   = 0.01                   // largest share of its quota that an evicted customer uses
 )
 
 // bandwidthManager holds the paper's sums over all customers, as of its last pass.
 type bandwidthManager struct {
-	lastRun             time.Duration
-	peakUsage           float64 // the paper's B̂, units a second
-	totalUsage          float64 // sum of the customers' b̂
-	totalQuota          float64 // the paper's B
-	anyActiveUnderQuota bool    // an active customer is under its quota
+	lastRun             time.Duration // time of the last pass
+	peakUsage           float64       // peak of total usage and quota, in units per second; B̂ of the paper
+	totalUsage          float64       // sum of the customers' average usages b̂, in units per second
+	totalQuota          float64       // sum of the customers' quotas, in units per second; B of the paper
+	anyActiveUnderQuota bool          // at least one active customer is under its quota
 }
 
-// pacingDelaySeconds is the paper's eq. 3, (1/d - 1/B̂) x units, floored at zero; infinite with nothing available.
+// pacingDelaySeconds is the delay of a request by eq. 3 of the paper, (1/d - 1/B̂)·units, and at least 0.
+// It is infinite if no rate is available.
 func (e *Engine) pacingDelaySeconds(c *customer, units float64) float64 {
 	return max(0, (1/e.bandwidth.availableRate(c)-1/e.bandwidth.peakUsage)*units)
 }
 
-// availableRate is the paper's d, the rate that is available to a customer (eq. 4 to 6).
+// availableRate is the rate that is available to a customer: d of the paper (eq. 4 to 6).
 func (m *bandwidthManager) availableRate(c *customer) float64 {
 	quota := c.plan.QuotaRate
 	switch {
@@ -33,8 +34,9 @@
 	return max(0, quota)
 }
 
-// runBandwidthManager is the paper's bandwidth manager: it decays the usage of quiet customers, forgets those near
-// zero, clears the active flags and raises B̂ to the peak.
+// runBandwidthManager is a pass of the paper's bandwidth manager. It decays the usage of customers without a
+// reading, evicts idle customers whose usage is near 0, clears the active flags and raises the peak usage
+// B̂.
 func (e *Engine) runBandwidthManager(now time.Duration) {
 	m := &e.bandwidth
 	elapsed := now - m.lastRun
@@ -50,7 +52,8 @@
 			c.avgUsage -= usageSmoothing * c.avgUsage * periods
 		}
 		retention := e.cfg.WarmUpDuration
-		if c.plan.CeilingRate > 0 { // an empty ceiling takes so long to fill
+		// An evicted customer may return with a full ceiling bucket, so the bucket must be full at its eviction.
+		if c.plan.CeilingRate > 0 {
 			retention = max(retention, seconds(c.plan.CeilingBurst/c.plan.CeilingRate))
 		}
 		idle := c.openRequests == 0 && c.queuedRequests == 0 && now-c.lastSeen > retention
