--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -9,43 +9,44 @@
 )
 
 const (
-	endpointLatencySmoothing = 0.4             // weight of one answer in an endpoint's latency
-	latencyDriftTime         = 4 * time.Second // an unvisited endpoint's latency drifts to the mean in this time
-	crossZonePenalty         = 1.1             // factor on the cost of endpoints of another zone
-	triedEndpointPenalty     = 4               // and of endpoints that the request has tried
-	costJitter               = 0.02            // random part of a cost, which spreads near ties
-	minSecondsPerUnit        = 1e-6            // seconds
-	minWarmCandidates        = 2.0             // warm endpoints that a gateway considers,
-	warmCandidatesPerUnit    = 1.0             // and more for each unit in flight
-	queueRetriesPerObjective = 16              // a queued request is retried in this part of its objective
+	endpointLatencySmoothing = 0.4             // weight of one answer in the smoothed latency of its endpoint
+	latencyDriftTime         = 4 * time.Second // time in which an unused endpoint drifts to the fleet mean
+	crossZonePenalty         = 1.1             // factor on the cost of endpoints in other zones
+	triedEndpointPenalty     = 4               // factor on the cost of endpoints that the request has tried
+	costJitter               = 0.02            // random part of a cost; spreads load over similar endpoints
+	minSecondsPerUnit        = 1e-6            // least latency per unit in the cost of an endpoint
+	minWarmCandidates        = 2.0             // warm endpoints that are considered in any case
+	warmCandidatesPerUnit    = 1.0             // further warm endpoints considered for each unit in flight
+	queueRetriesPerObjective = 16              // dispatches of a queued request per latency objective
 )
 
-// endpoint is an upstream server as the engine knows it.
+// endpoint is the state of an upstream server at this gateway.
 type endpoint struct {
 	Endpoint
-	rank           uint64 // the order in which this gateway considers endpoints
-	discovered     bool   // the endpoint list has it
-	inEndpointList bool   // it is in Engine.endpointList
-
-	latencyPerUnit       float64       // seconds, smoothed
-	latencyMeasuredAt    time.Duration // when that was last measured
-	lastResponseAt       time.Duration // or the start of the present wait
-	newestAnsweredSentAt time.Duration // send time of the latest sent of the attempts that it has answered
-	inFlight             int
-	inFlightUnits        float64
-	limit                float64       // units in flight that are allowed from here
-	nextDecreaseAt       time.Duration // the limit is not lowered again before
-
-	ejected         bool
-	nextTrialAt     time.Duration // an ejected endpoint gets no request before
-	ejectionBackoff time.Duration
-
-	warmUpBucket     tokenBucket // slow start: units that may be forwarded now
-	warmUpUpdatedAt  time.Duration
-	admittedAtRefill float64 // Engine.admittedUnits when the bucket was last refilled
+	rank           uint64 // order in which this gateway considers endpoints; differs between gateways
+	discovered     bool   // the latest endpoint list contains the endpoint
+	inEndpointList bool   // Engine.endpointList contains the endpoint
+
+	latencyPerUnit       float64       // seconds per unit, smoothed
+	latencyMeasuredAt    time.Duration // time of the last update of latencyPerUnit
+	lastResponseAt       time.Duration // time of the last response, or of the first attempt after an idle time
+	newestAnsweredSentAt time.Duration // latest start of an attempt that the endpoint has answered
+	inFlight             int           // attempts in flight from this gateway
+	inFlightUnits        float64       // units in flight from this gateway
+	limit                float64       // concurrency limit on this gateway's units in flight
+	nextDecreaseAt       time.Duration // earliest time at which limit may be lowered again
+
+	ejected         bool          // excluded after failures, except for trial requests
+	nextTrialAt     time.Duration // earliest time of the next trial request
+	ejectionBackoff time.Duration // time between trial requests; doubles with each failed one
+
+	warmUpBucket     tokenBucket   // units that slow start allows to be forwarded now
+	warmUpUpdatedAt  time.Duration // time of the last refill of warmUpBucket
+	admittedAtRefill float64       // Engine.admittedUnits at the last refill of warmUpBucket
 }
 
-// UpdateEndpoints takes an update of the list. Endpoints that drain or are removed get nothing from now on.
+// UpdateEndpoints applies an update of the endpoint list. Draining and removed endpoints receive no more
+// requests. After a failed call, the updates are requested again.
 func (e *Engine) UpdateEndpoints(now time.Duration, kind UpdateKind, list []Endpoint) {
 	if kind == UpdateFailed {
 		e.actions.StartTimer(minEjection, Timer{Kind: TimerWatch})
@@ -53,7 +54,7 @@
 	}
 	if kind != UpdateDelta {
 		for _, ep := range e.endpointList {
-			ep.discovered = false // absent from a complete list means removed
+			ep.discovered = false // an endpoint that is absent from a complete list is removed
 		}
 	}
 	for _, entry := range list {
@@ -66,6 +67,7 @@
 	}
 }
 
+// updateEndpoint applies one entry of the endpoint list.
 func (e *Engine) updateEndpoint(now time.Duration, entry Endpoint) {
 	ep, known := e.endpoints[entry.ID]
 	if !known {
@@ -78,7 +80,8 @@
 		ep.admittedAtRefill = e.admittedUnits
 	}
 	if known && entry.StartedAt != ep.StartedAt {
-		// A restart under the same id is a new process: warming up, with a clean record.
+		// A restart under the same ID is a new process, to which the ejection and latency of the old one do not
+		// apply.
 		ep.ejected, ep.ejectionBackoff = false, 0
 		ep.latencyPerUnit = e.latencyPerUnit
 	}
@@ -87,13 +90,15 @@
 	}
 	ep.Endpoint, ep.discovered = entry, entry.State != StateRemoved
 	if ep.discovered && !ep.inEndpointList {
-		// One that was removed with attempts in flight is still known by its id when it returns.
+		// An endpoint that was removed while it had attempts in flight is still in e.endpoints when it returns, but
+		// no longer in e.endpointList.
 		ep.inEndpointList = true
 		e.endpointList = append(e.endpointList, ep)
 	}
 }
 
-// removeAbsentEndpoints drops the endpoints that have left the list, and sums up the ready ones.
+// removeAbsentEndpoints drops the endpoints that are no longer listed, and sums up the weights of the ready
+// ones.
 func (e *Engine) removeAbsentEndpoints() {
 	kept := e.endpointList[:0]
 	e.readyWeight = 0
@@ -113,7 +118,8 @@
 	e.endpointList = kept
 }
 
-// dispatch forwards a request to the cheapest endpoint that may take it. With none it is queued for a little.
+// dispatch forwards a request to the eligible endpoint of the lowest cost. If no endpoint or gateway limit
+// has room for it, a first attempt is queued for a short time, and a retry is given up.
 func (e *Engine) dispatch(now time.Duration, r *request) {
 	cannotBeInTime := now+e.expectedLatency(r.Units) > r.arrivedAt+r.class.LatencyObjective
 	if now >= r.deadline {
@@ -130,7 +136,8 @@
 		e.forward(now, r, ep)
 		return
 	}
-	// The limits keep latencies low, so a lack of capacity is the sign of overload.
+	// Concurrency limits keep latencies low under overload as well, so a lack of capacity also counts as a sign
+	// of overload.
 	e.recordLatencyRatio(maxLatencyRatio)
 	delay := r.class.LatencyObjective / queueRetriesPerObjective
 	if r.attempts == 0 && now+delay < min(r.deadline, r.arrivedAt+r.maxQueueDelay()) {
@@ -140,8 +147,9 @@
 	e.finish(r, RefusedNoCapacity)
 }
 
+// forward starts an attempt at an endpoint and counts its units in flight.
 func (e *Engine) forward(now time.Duration, r *request, ep *endpoint) {
-	ep.warmUpBucket.tokens -= r.Units // of no account once it is warm
+	ep.warmUpBucket.tokens -= r.Units // not used once the endpoint is warm
 	if !r.forwarded {
 		r.forwarded = true
 		r.customer.active = true
@@ -156,7 +164,7 @@
 	ep.inFlightUnits += r.Units
 	e.inFlightUnits += r.Units
 	if ep.ejected {
-		ep.nextTrialAt = now + max(ep.ejectionBackoff, minEjection) // one trial at a time
+		ep.nextTrialAt = now + max(ep.ejectionBackoff, minEjection) // one trial request at a time
 	}
 	r.currentEndpoint, r.currentAttempt, r.sentAt, r.limitLowered = ep, r.attempts, now, false
 	r.attempts++
@@ -165,8 +173,9 @@
 	e.actions.StartTimer(e.silenceTimeout(r), Timer{TimerSilence, r.ID, r.currentAttempt})
 }
 
-// chooseEndpoint returns the cheapest endpoint that the rules allow, or nil. It considers few of the warm
-// ones, to keep few connections; those in slow start are bounded by their budget.
+// chooseEndpoint returns the eligible endpoint of the lowest cost, or nil. It considers only as many warm
+// endpoints as the units in flight need, in order of rank, so that the gateway keeps few connections. All
+// endpoints in slow start are considered, since their warm-up budget bounds their load.
 func (e *Engine) chooseEndpoint(now time.Duration, r *request) *endpoint {
 	var best *endpoint
 	bestCost, warmCandidates := math.Inf(1), minWarmCandidates+warmCandidatesPerUnit*e.inFlightUnits
@@ -185,7 +194,9 @@
 	return best
 }
 
-// eligible reports whether a request may be forwarded to an endpoint now.
+// eligible reports whether a request may be forwarded to an endpoint now. An endpoint without attempts in
+// flight accepts requests larger than its concurrency limit. Under overload, part of the limit is reserved
+// for requests of high priority.
 func (e *Engine) eligible(now time.Duration, r *request, ep *endpoint) bool {
 	if ep.State != StateReady || !e.attemptAllowed(now, r, ep) || !e.warmUpBudgetAllows(now, ep, r.Units) {
 		return false
@@ -200,7 +211,8 @@
 	return ep.inFlight == 0 || ep.inFlightUnits+r.Units <= allowed
 }
 
-// requestCost is the cost of a request at an endpoint, with the preferences among endpoints.
+// requestCost is the cost of a request at an endpoint. It is higher at endpoints that the request has tried
+// and in other zones, and has a random part.
 func (e *Engine) requestCost(now time.Duration, r *request, ep *endpoint) float64 {
 	cost := e.cost(now, ep, r.Units)
 	if slices.Contains(r.triedEndpoints, ep.ID) {
@@ -212,8 +224,9 @@
 	return cost * (1 + costJitter*e.rng.Float64())
 }
 
-// cost is the seconds that units should take at an endpoint. One that is silent for longer than usual with
-// attempts in flight costs that time on top: this guards against stalls and crashes.
+// cost is the expected time in seconds that the units take at an endpoint. If the endpoint has attempts in
+// flight and has been silent for longer than usual, the cost includes the length of that silence, which keeps
+// load away from stalled or crashed endpoints.
 func (e *Engine) cost(now time.Duration, ep *endpoint, units float64) float64 {
 	drift := min(1, (now-ep.latencyMeasuredAt).Seconds()/latencyDriftTime.Seconds())
 	perUnit := ep.latencyPerUnit + drift*(e.latencyPerUnit-ep.latencyPerUnit)
@@ -227,7 +240,8 @@
 	return cost
 }
 
-// recordLatency averages the seconds that a unit took, at the endpoint and over all of them.
+// recordLatency adds an answer to the smoothed latencies of its endpoint and of the fleet, in seconds per
+// unit.
 func (e *Engine) recordLatency(now time.Duration, ep *endpoint, perUnit float64) {
 	e.latencyPerUnit = cmp.Or(e.latencyPerUnit, perUnit)
 	e.latencyPerUnit += fleetLatencySmoothing * (perUnit - e.latencyPerUnit)
@@ -236,12 +250,13 @@
 	ep.latencyMeasuredAt, ep.lastResponseAt = now, now
 }
 
-// releaseInFlight ends an attempt's part of the units in flight: exactly that, or the limits close for ever.
+// releaseInFlight removes an attempt from the counts in flight. It must subtract exactly the units that
+// forward has added, or the concurrency limits would stay exhausted for good.
 func (e *Engine) releaseInFlight(ep *endpoint, units float64) {
 	ep.inFlight, e.inFlight = ep.inFlight-1, e.inFlight-1
 	ep.inFlightUnits, e.inFlightUnits = max(0, ep.inFlightUnits-units), max(0, e.inFlightUnits-units)
 	if e.inFlight == 0 {
-		e.inFlightUnits = 0 // sums of fractions leave a rest
+		e.inFlightUnits = 0 // removes the rounding error of fractional units
 	}
 	if ep.inFlight == 0 {
 		ep.inFlightUnits = 0
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -3,22 +3,23 @@
 import "time"
 
 const (
-	minEjection            = time.Second     // first backoff of an ejected endpoint
-	maxEjection            = 8 * time.Second // longest backoff
-	maxEjectedShare        = 0.5             // share of the ready endpoints that may be ejected
-	rejectionLatencyFactor = 1.5             // factor on the latency of an endpoint that rejects
-	fleetLatencySmoothing  = endpointLatencySmoothing / 4
+	minEjection            = time.Second                  // first backoff after a failure
+	maxEjection            = 8 * time.Second              // longest backoff after a failure
+	maxEjectedShare        = 0.5                          // largest share of ready endpoints to eject
+	rejectionLatencyFactor = 1.5                          // latency factor after a rejection or local failure
+	fleetLatencySmoothing  = endpointLatencySmoothing / 4 // weight of one answer in the fleet latency
 )
 
-// recordResult learns about an endpoint from the result of an attempt. r is nil for an orphan.
+// recordResult updates an endpoint's limit, latency and ejection from the result of an attempt. r is nil if
+// the request is already finished.
 func (e *Engine) recordResult(now time.Duration, ep *endpoint, result AttemptResult, units float64,
 	r *request) {
 	status := result.Status
 	answerLost := r != nil && status == StatusTimedOut && r.sentAt < ep.newestAnsweredSentAt
 	if r != nil && status.isEndpointOutcome() && !answerLost {
 		late := result.Latency.Seconds() > endpointLateThreshold*r.class.LatencyObjective.Seconds()
-		// Failures lower the limit like lateness: an endpoint that fails a part of its work fast has capacity
-		// all the time, and may never fail often enough in a row to be ejected.
+		// A failure lowers the limit like a late answer. An endpoint that fails part of its requests quickly always
+		// has free capacity, and may never fail often enough in a row to be ejected.
 		late = late && !r.responseStarted || status != StatusOK
 		e.adjustLimits(now, ep, r, late, max(result.Latency, e.expectedLatency(units)))
 	}
@@ -32,11 +33,11 @@
 	case StatusRejected:
 		ep.lastResponseAt, ep.latencyMeasuredAt = now, now
 		ep.latencyPerUnit = max(ep.latencyPerUnit, e.latencyPerUnit) * rejectionLatencyFactor
-		// It may be draining, seconds before the endpoint list says so.
+		// The endpoint may already be draining, which the endpoint list shows only seconds later.
 		e.recordFailure(now, ep, EjectedAfterFailure)
 	case StatusLocalFailure:
-		// Nothing is held against it but in comparison: if it alone cannot be reached from here, others are
-		// preferred.
+		// The attempt does not count as a failure of the endpoint. The higher latency makes other endpoints
+		// preferred, in case this one alone cannot be reached from the gateway.
 		ep.latencyMeasuredAt = now
 		ep.latencyPerUnit = max(ep.latencyPerUnit, e.latencyPerUnit) * rejectionLatencyFactor
 	case StatusServerError, StatusConnectFailed, StatusReset:
@@ -45,13 +46,14 @@
 	}
 }
 
-// isEndpointOutcome reports whether an attempt that ended so says something of its endpoint.
+// isEndpointOutcome reports whether the outcome of an attempt says something about its endpoint.
 func (s Status) isEndpointOutcome() bool {
 	return s != StatusCancelled && s != StatusNotSent && s != StatusLocalFailure
 }
 
-// recordFailure ejects an endpoint at its first failure, since a healthy one makes next to none, for a time
-// that doubles; but never so many endpoints that the rest would be overloaded.
+// recordFailure ejects an endpoint at its first failure, since a healthy endpoint hardly ever fails. The
+// backoff doubles with each failure while it is ejected. So many endpoints are never ejected that the rest
+// would be overloaded.
 func (e *Engine) recordFailure(now time.Duration, ep *endpoint, reason Reason) {
 	if ep.ejected {
 		ep.ejectionBackoff = min(maxEjection, 2*max(ep.ejectionBackoff, minEjection/2))
@@ -62,6 +64,7 @@
 	}
 }
 
+// mayEjectAnother reports whether maxEjectedShare allows a further ejection.
 func (e *Engine) mayEjectAnother() bool {
 	ejected, ready := 0, 0
 	for _, ep := range e.endpointList {
@@ -75,8 +78,8 @@
 	return float64(ejected+1) <= maxEjectedShare*float64(ready)
 }
 
-// trialTime is when an ejected endpoint may be tried with a request: later with one that must not run twice,
-// and would be lost if the trial fails.
+// trialTime is the earliest time of a trial of an ejected endpoint with the request. It is later for a
+// non-idempotent request, which cannot be repeated and would be lost if the trial failed.
 func (ep *endpoint) trialTime(r *request) time.Duration {
 	if r.class.Idempotency == NonIdempotent {
 		return ep.nextTrialAt + maxEjection
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -2,37 +2,39 @@
 
 import "time"
 
-// Latencies in these constants are relative to the latency objective of a request's class.
+// A latency ratio is a latency, divided by the latency objective of the request's class.
 const (
-	overloadEnterRatio    = 0.6  // smoothed latency at which the back end counts as overloaded
-	overloadExitRatio     = 0.4  // and at which it no longer does
-	latencyRatioSmoothing = 0.05 // weight of one answer in that average
-	maxLatencyRatio       = 2.0  // a rejection weighs as an answer at twice the objective
+	overloadEnterRatio    = 0.6  // smoothed latency ratio above which the back end counts as overloaded
+	overloadExitRatio     = 0.4  // smoothed latency ratio at which overload ends
+	latencyRatioSmoothing = 0.05 // weight of one answer in the smoothed latency ratio
+	maxLatencyRatio       = 2.0  // cap on a latency ratio; used for rejections, timeouts and lack of capacity
 
 	initialEndpointLimit  = 24.0 // units in flight at a new endpoint, from all gateways together
-	endpointLateThreshold = 0.2  // latency above which an endpoint's limit is lowered
-	endpointLimitDecrease = 0.7  // by this factor, at most once in a latency
-	gatewayLateThreshold  = 0.5  // latency above which the limit on all endpoints is lowered
-	gatewayLimitIncrease  = 0.1  // units by which a unit answered in time raises it
-	gatewayLimitDecrease  = 0.8  // units by which a late one lowers it, once an attempt
-	minGatewayLimit       = 0.05 // least limit on all endpoints: below one unit, a share of the time
-	minUnitsPerEndpoint   = 6.0  // units in flight at each endpoint, from all gateways, that stay allowed
-	priorityReserve       = 0.5  // share of a limit that the lowest priority may not use under overload
+	endpointLateThreshold = 0.2  // latency ratio above which an endpoint's limit is lowered
+	endpointLimitDecrease = 0.7  // factor that lowers an endpoint's limit, at most once in the time of a latency
+	gatewayLateThreshold  = 0.5  // latency ratio from which the gateway limit is lowered
+	gatewayLimitIncrease  = 0.1  // units by which the gateway limit rises for each unit answered in time
+	gatewayLimitDecrease  = 0.8  // units by which the gateway limit falls for each late unit, once per attempt
+	minGatewayLimit       = 0.05 // least gateway limit, in units; below one unit it is a share of the time
+	minUnitsPerEndpoint   = 6.0  // units in flight per endpoint, from all gateways, that are always allowed
+	priorityReserve       = 0.5  // share of an endpoint's limit denied to the lowest priority under overload
 )
 
-// recordLatencyRatio follows latencies against the objective, with hysteresis.
+// recordLatencyRatio adds a ratio of latency to latency objective to the smoothed one, which decides with
+// hysteresis on overload.
 func (e *Engine) recordLatencyRatio(sample float64) {
 	e.latencyRatio += latencyRatioSmoothing * (min(sample, maxLatencyRatio) - e.latencyRatio)
 	e.overloaded = e.latencyRatio > overloadEnterRatio || e.overloaded && e.latencyRatio > overloadExitRatio
 }
 
-// expectedLatency is what a request of these units should take.
+// expectedLatency is the expected latency of a request of the given units.
 func (e *Engine) expectedLatency(units float64) time.Duration {
 	return seconds(e.latencyPerUnit * units)
 }
 
-// adjustLimits sets how many units may be in flight after an attempt that took the given time. An endpoint's
-// limit rises by a request a round while answers are early, and falls by a factor otherwise.
+// adjustLimits adjusts the concurrency limits after an attempt of the given latency. While answers are early
+// and at least half of its limit is used, an endpoint's limit rises by one request per round trip; a late
+// attempt lowers it by a factor (additive increase, multiplicative decrease).
 func (e *Engine) adjustLimits(now time.Duration, ep *endpoint, r *request, late bool, latency time.Duration) {
 	switch {
 	case late && now >= ep.nextDecreaseAt:
@@ -43,8 +45,9 @@
 	e.adjustGatewayLimit(now, r, latency)
 }
 
-// adjustGatewayLimit moves the limit on all endpoints by a part of each answer: one that is seldom used tells
-// too late. Below one unit the limit is a share of the time, and the gateway pauses between requests.
+// adjustGatewayLimit adjusts the limit on all endpoints together by a step for each attempt, because the
+// limit of an endpoint that is seldom used reacts too late. Below one unit the limit is a share of the time:
+// the gateway pauses between requests.
 func (e *Engine) adjustGatewayLimit(now time.Duration, r *request, latency time.Duration) {
 	if latency.Seconds() < gatewayLateThreshold*r.class.LatencyObjective.Seconds() {
 		if e.inFlightUnits+r.Units >= e.gatewayLimit/2 ||
@@ -54,12 +57,14 @@
 	} else if !r.limitLowered {
 		r.limitLowered = true
 		e.gatewayLimit = max(e.gatewayLimitFloor(now), e.gatewayLimit-gatewayLimitDecrease*r.Units)
-		e.pausedUntil = now + min(maxEjection, seconds(latency.Seconds()*(1/e.gatewayLimit-1))) // past, from one unit up
+		// The pause ends in the past, and so has no effect, if the limit is one unit or more.
+		e.pausedUntil = now + min(maxEjection, seconds(latency.Seconds()*(1/e.gatewayLimit-1)))
 	}
 }
 
-// gatewayLimitFloor is this gateway's share of minUnitsPerEndpoint at every ready endpoint, by warmth. So little makes
-// no queue, and with few answers a lower limit would take minutes to rise again.
+// gatewayLimitFloor is the least gateway limit: this gateway's share of minUnitsPerEndpoint for every ready
+// endpoint, scaled by its capacity during warm-up. So few units cause no queueing. A lower limit would take
+// minutes to rise again, since few answers would arrive.
 func (e *Engine) gatewayLimitFloor(now time.Duration) float64 {
 	capacity := 0.0
 	for _, ep := range e.endpointList {
@@ -70,12 +75,12 @@
 	return max(minGatewayLimit, minUnitsPerEndpoint*capacity/float64(max(1, e.cfg.GatewayCount)))
 }
 
-// initialLimitShare is this gateway's share of the units in flight at an endpoint that has not answered.
+// initialLimitShare is this gateway's share of the limit of an endpoint that has not answered yet.
 func (e *Engine) initialLimitShare() float64 {
 	return initialEndpointLimit / float64(max(1, e.cfg.GatewayCount))
 }
 
-// relativePriority is the value of a unit of the request against the dearest plan and class.
+// relativePriority is the value of a unit of the request, relative to the most valuable class and plan.
 func (e *Engine) relativePriority(r *request) float64 {
 	highest := 0.0
 	for _, class := range e.cfg.Classes {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	retryTokensPerRequest = 0.2  // retry budget earned by each request
-	maxRetryTokens        = 10.0 // and the most saved up
-	silenceFactor         = 8.0  // an attempt is moved after this multiple of its expected latency
-	overdueMargin         = 1.01 // an attempt is late just past endpointLateThreshold
+	retryTokensPerRequest = 0.2  // retry budget that each submitted request earns, in retries
+	maxRetryTokens        = 10.0 // largest retry budget, in retries
+	silenceFactor         = 8.0  // multiple of its expected latency after which an attempt is retried elsewhere
+	overdueMargin         = 1.01 // factor that puts the check of an attempt just past endpointLateThreshold
 )
 
-// endAttempt notes that the attempt in flight has ended, and whether it may have been executed.
+// endAttempt records that the attempt in flight has ended, and whether it may have been executed.
 func (r *request) endAttempt(status Status) {
 	if !status.neverExecuted() && status != StatusOK && r.mayHaveRunOn == nil {
 		r.mayHaveRunOn, r.mayHaveRunAt = r.currentEndpoint, r.sentAt
@@ -17,7 +17,7 @@
 	r.currentEndpoint = nil
 }
 
-// neverExecuted reports whether an attempt that ended so was certainly not executed.
+// neverExecuted reports whether an attempt with this outcome was certainly not executed.
 func (s Status) neverExecuted() bool {
 	switch s {
 	case StatusRejected, StatusConnectFailed, StatusNotSent, StatusLocalFailure:
@@ -27,9 +27,9 @@
 	}
 }
 
-// requeueOrFinish goes on after an attempt that failed on this machine. No endpoint was asked, so that it costs
-// nothing of the retry budget; but the next attempt would fail at once in the same way, so it waits for a
-// moment first.
+// requeueOrFinish continues a request after an attempt that failed on the gateway's own machine. No endpoint
+// received the attempt, so that a retry costs nothing of the retry budget. The request is queued for a
+// moment, because the next attempt would fail in the same way at once.
 func (e *Engine) requeueOrFinish(now time.Duration, r *request) {
 	delay := r.class.LatencyObjective / queueRetriesPerObjective
 	switch {
@@ -43,7 +43,7 @@
 	}
 }
 
-// retryOrFinish retries where rules, time and the retry budget allow it.
+// retryOrFinish retries a request if its deadline, the retry budget and the attempt limit allow it.
 func (e *Engine) retryOrFinish(now time.Duration, r *request) {
 	switch {
 	case r.deadline-now <= e.expectedLatency(r.Units):
@@ -59,12 +59,14 @@
 	}
 }
 
+// attemptsExhausted reports whether a request has had all of its attempts.
 func (e *Engine) attemptsExhausted(r *request) bool {
 	return e.cfg.MaxAttempts > 0 && r.attempts >= e.cfg.MaxAttempts
 }
 
-// attemptAllowed keeps the rule on repeats: anywhere while no attempt may have been executed; then only where
-// repeats are deduplicated, and only while the idempotency key is remembered.
+// attemptAllowed reports whether idempotency allows an attempt at an endpoint. Any endpoint is allowed while
+// no attempt may have been executed. After that, a request that is not idempotent may only be repeated with
+// an idempotency key: at endpoints that share the key, and while they remember it.
 func (e *Engine) attemptAllowed(now time.Duration, r *request, ep *endpoint) bool {
 	if r.mayHaveRunOn == nil || r.class.Idempotency == Idempotent {
 		return true
@@ -77,22 +79,24 @@
 	return zoneAllowed && cellAllowed
 }
 
-// canReject reports whether a rejection may still be given, which promises that nothing has run.
+// canReject reports whether a request may still be rejected. A rejection promises that nothing has been
+// executed; for an idempotent request this does not matter.
 func (r *request) canReject() bool {
 	return r.currentEndpoint == nil && r.mayHaveRunOn == nil || r.class.Idempotency == Idempotent
 }
 
-// silenceTimeout is when an attempt is looked at that has not been answered.
+// silenceTimeout is the time after which an attempt that has not been answered is checked.
 func (e *Engine) silenceTimeout(r *request) time.Duration {
 	objective := r.class.LatencyObjective.Seconds()
 	overdue := overdueMargin * endpointLateThreshold * objective
 	return seconds(min(max(silenceFactor*e.latencyPerUnit*r.Units, objective/4), overdue))
 }
 
-// checkSilence looks at an attempt that has not been answered. Overdue, it counts as late for the limits.
-// Past what an answer takes at most it is retried elsewhere; earlier that would only multiply the work.
+// checkSilence checks an attempt that has not been answered. An overdue attempt counts as late for the
+// concurrency limits. After silenceFactor times its expected latency, more than an answer should ever take,
+// the attempt is retried elsewhere; an earlier retry would only multiply the load.
 func (e *Engine) checkSilence(now time.Duration, r *request) {
-	if r.responseStarted { // a stream belongs to the client and may last
+	if r.responseStarted { // a streamed answer may last as long as the client accepts
 		return
 	}
 	age := now - r.sentAt
@@ -106,7 +110,7 @@
 	due := seconds(silenceFactor * e.latencyPerUnit * r.Units)
 	if age >= due && e.mayRetryElsewhere(now, r) {
 		if r.currentEndpoint.lastResponseAt <= r.sentAt {
-			e.recordFailure(now, r.currentEndpoint, EjectedAfterSilence) // it has answered nothing else either
+			e.recordFailure(now, r.currentEndpoint, EjectedAfterSilence) // nothing else was answered either
 		}
 		e.reasons.record(RetriedAfterSilence)
 		e.actions.CancelAttempt(r.ID, r.currentAttempt)
@@ -119,7 +123,7 @@
 	e.actions.StartTimer(next, Timer{TimerSilence, r.ID, r.currentAttempt})
 }
 
-// mayRetryElsewhere reports whether the attempt in flight may be cancelled and retried elsewhere.
+// mayRetryElsewhere reports whether the attempt in flight may be cancelled and retried at another endpoint.
 func (e *Engine) mayRetryElsewhere(now time.Duration, r *request) bool {
 	keyRemembered := r.class.Idempotency == IdempotentByKey && now < r.sentAt+r.class.KeyTTL
 	timeLeft := r.deadline-now > e.expectedLatency(r.Units)
@@ -127,7 +131,8 @@
 	return (r.class.Idempotency == Idempotent || keyRemembered) && timeLeft && affordable
 }
 
-// laterAttemptAnswered reports whether the answer seems lost, which is no sign of load: later attempts were answered.
+// laterAttemptAnswered reports whether the endpoint has answered an attempt that was sent later. The answer
+// to this one is then probably lost, which is no sign of load.
 func (r *request) laterAttemptAnswered() bool {
 	return r.currentEndpoint != nil && r.sentAt < r.currentEndpoint.newestAnsweredSentAt
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -4,21 +4,23 @@
 
 const (
 	warmUpMargin           = 0.8  // share of the warm-up budget that is used
-	minInitialCapacity     = 0.01 // share of its capacity at which an endpoint starts at least
-	minRateAveragingPasses = 10   // least averaging time of forwardRate, in passes of the manager
+	minInitialCapacity     = 0.01 // least assumed share of its capacity that an endpoint has at its start
+	minRateAveragingPasses = 10   // averaging time of demandRate, and least one of forwardRate, in passes
 
-	// safeDemandShare is the part of what is requested that endpoints surely bear once they are warm: all but
-	// requests of over 2.5 times their capacity.
+	// safeDemandShare is the share of demandRate that endpoints can certainly serve once they are warm, unless
+	// the demand exceeds 2.5 times their capacity.
 	safeDemandShare = 0.4
 
-	// warmUpFreeRequests is how many calls in each window the whole fleet may make at an endpoint whatever it
-	// bears. The operators leave three for chance where it bears nothing at all.
+	// warmUpFreeRequests is how many requests per overload window all gateways together may send to an endpoint
+	// regardless of its capacity. The slow start rule tolerates three, for chance, where the endpoint has no
+	// capacity at all.
 	warmUpFreeRequests = 2
 
-	minWarmUpTokens = 1e-9 // units; lets a request pass that the bucket has just earned
+	minWarmUpTokens = 1e-9 // units; a level just above 0, which admits one request
 )
 
-// capacityShare is the least share of its capacity that an endpoint has by now.
+// capacityShare is the share of its full capacity that an endpoint has at least by now. It rises linearly
+// during warm-up.
 func (e *Engine) capacityShare(now time.Duration, ep *endpoint) float64 {
 	age := now - ep.StartedAt
 	if ep.StartedAt <= 0 || e.cfg.WarmUpDuration <= 0 || age >= e.cfg.WarmUpDuration {
@@ -28,16 +30,17 @@
 	return initial + (1-initial)*max(0, age.Seconds())/e.cfg.WarmUpDuration.Seconds()
 }
 
-// warmUpShare is the part of a rate of the whole that an endpoint in slow start may get: its share among
-// equal warm endpoints, times what it bears by now.
+// warmUpShare is the part of a rate over all endpoints that an endpoint in slow start may receive: its share
+// by weight, times its present capacity and the load that it withstands, less a margin.
 func (e *Engine) warmUpShare(now time.Duration, ep *endpoint) float64 {
 	budget := warmUpMargin * max(1, e.cfg.WarmUpOverloadFactor) * e.capacityShare(now, ep)
 	return budget * ep.Weight / e.readyWeight
 }
 
-// warmUpBudgetAllows keeps the rule on slow start by a bucket that a request may take below zero. It starts
-// below zero at random, to spread the first requests of many gateways that learn of a start at once. A few
-// calls of the whole fleet are free, which the rule leaves for chance.
+// warmUpBudgetAllows enforces slow start with a token bucket: a request is allowed while the level is above 0
+// and may take it below 0. The initial level is random and negative, to spread the first requests of many
+// gateways that learn of a start at the same time. A few gateways start with a positive level instead: the
+// slow start rule tolerates a few requests of the whole fleet.
 func (e *Engine) warmUpBudgetAllows(now time.Duration, ep *endpoint, units float64) bool {
 	if e.capacityShare(now, ep) >= 1 {
 		return true
@@ -53,9 +56,10 @@
 	return ep.warmUpBucket.tokens > 0
 }
 
-// refillWarmUpBucket adds what the endpoint bears since the last time. The rate of the whole is what this
-// gateway has forwarded, on an average that remembers the time before a fault. Where that tells nothing, as
-// in a new gateway or after a quiet time, a safe part of what is requested here takes its place.
+// refillWarmUpBucket adds the units that the endpoint can serve since the last refill: its warm-up share of
+// the rate that this gateway forwards, averaged for long enough to include the time before a fault. Where
+// that rate is too low to tell, as in a new gateway or after an idle time, a safe share of the demand at this
+// gateway replaces it.
 func (e *Engine) refillWarmUpBucket(now time.Duration, ep *endpoint, units float64) {
 	share := e.warmUpShare(now, ep)
 	window := e.cfg.WarmUpOverloadWindow.Seconds()
@@ -74,7 +78,8 @@
 	ep.warmUpUpdatedAt, ep.admittedAtRefill = now, e.admittedUnits
 }
 
-// updateRates averages the units forwarded and admitted since the manager's last pass.
+// updateRates updates the average rates of forwarded and admitted units with those since the last pass of the
+// bandwidth manager.
 func (e *Engine) updateRates(now, elapsed time.Duration) {
 	elapsedSeconds := elapsed.Seconds()
 	if elapsedSeconds <= 0 {
