--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -35,8 +35,8 @@
 }
 
 // runBandwidthManager is a pass of the paper's bandwidth manager. It decays the usage of customers without a
-// reading, evicts idle customers whose usage is near 0, clears the active flags and raises the peak usage
-// B̂.
+// reading, evicts idle customers whose usage is near 0, clears the active flags and raises the
+// peak usage B̂.
 func (e *Engine) runBandwidthManager(now time.Duration) {
 	m := &e.bandwidth
 	elapsed := now - m.lastRun
