--- a/policy/engine.go
+++ b/policy/engine.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Engine decides for one gateway. It is not safe for concurrent use.
+// Engine makes the decisions of one gateway. It is not safe for concurrent use.
 type Engine struct {
 	cfg       Config
 	actions   Actions
@@ -16,54 +16,55 @@
 	startedAt time.Duration
 
 	requests map[RequestID]*request
-	orphans  map[RequestID]*request // finished ones with an attempt still in flight
+	orphans  map[RequestID]*request // finished requests with an attempt still in flight
 
 	customers    map[CustomerID]*customer
-	customerList []*customer // in order of arrival, so that the manager's pass is deterministic
-	manager      bandwidthManager
+	customerList []*customer // in order of arrival, so that passes of the bandwidth manager are deterministic
+	bandwidth    bandwidthManager
 	overuse      overuseModel
 	reasons      reasonLog
 
 	endpoints    map[EndpointID]*endpoint
-	endpointList []*endpoint // the present ones by rank
-	readyWeight  float64     // summed weight of the ready endpoints
-
-	pressure       float64       // smoothed latency over latency objective
-	overloaded     bool          // pressure is too high
-	limit          float64       // units in flight that this gateway may have at all endpoints together
-	inFlight       int           // attempts at all endpoints together
-	inFlightUnits  float64       // and their units
-	pausedUntil    time.Duration // no forwarding before; set while limit is under one unit
-	latencyPerUnit float64       // seconds, smoothed over all endpoints
-	retryTokens    float64
-	forwardRate    float64 // units a second forwarded to all endpoints, a slow average
-	forwardedUnits float64 // since the last pass of the manager
-	admittedUnits  float64 // of all requests that the quotas have let in
-	demandRate     float64 // units a second of these, a fast average
-	demandSeen     float64 // admittedUnits at the last pass of the manager
+	endpointList []*endpoint // listed endpoints in order of rank
+	readyWeight  float64     // total weight of the ready endpoints
+
+	latencyRatio       float64       // smoothed ratio of latency to latency objective
+	overloaded         bool          // latencyRatio shows overload, with hysteresis
+	gatewayLimit       float64       // limit on this gateway's units in flight at all endpoints together
+	inFlight           int           // attempts in flight at all endpoints together
+	inFlightUnits      float64       // units in flight at all endpoints together
+	pausedUntil        time.Duration // end of a pause in forwarding; set while gatewayLimit is below one unit
+	latencyPerUnit     float64       // seconds per unit, smoothed over all endpoints
+	retryTokens        float64       // retry budget; each retry takes one token
+	forwardRate        float64       // units per second forwarded to all endpoints, a slow moving average
+	forwardedUnits     float64       // units forwarded since the last pass of the bandwidth manager
+	admittedUnits      float64       // units of all requests admitted since the start
+	demandRate         float64       // units per second admitted, a fast moving average
+	admittedAtLastPass float64       // admittedUnits at the last pass of the bandwidth manager
 }
 
-// request is an admitted or queued request that still lacks its final answer.
+// request is the state of a request that has been submitted. It is kept until the request has its final
+// answer and none of its attempts is in flight.
 type request struct {
 	Request
 	class           *Class
 	customer        *customer
 	arrivedAt       time.Duration
-	deadline        time.Duration // of the final answer
-	queued          bool          // held, or waiting for an endpoint
+	deadline        time.Duration // time by which the final answer is due
+	queued          bool          // held by pacing, or waiting for an endpoint with capacity
 	forwarded       bool          // counted in the customer's usage
-	attempts        int
-	inFlight        *endpoint // of the present attempt, nil without one
-	attempt         int       // its number
-	sentAt          time.Duration
-	responseStarted bool
-	countedLate     bool      // this attempt has lowered the fleet limit
-	mayHaveRunOn    *endpoint // of the first attempt that may have been executed
-	mayHaveRunAt    time.Duration
+	attempts        int           // number of attempts so far
+	currentEndpoint *endpoint     // endpoint of the attempt in flight; nil if none is
+	currentAttempt  int           // index of the latest attempt
+	sentAt          time.Duration // start of the latest attempt
+	responseStarted bool          // an answer has begun to stream to the client
+	limitLowered    bool          // the latest attempt has already lowered the gateway limit
+	mayHaveRunOn    *endpoint     // endpoint of the first attempt that may have been executed, or nil
+	mayHaveRunAt    time.Duration // start of the first attempt that may have been executed
 	triedEndpoints  []EndpointID
 }
 
-// New returns an engine that knows nothing but its configuration.
+// New returns an engine without customers, endpoints or requests.
 func New(cfg Config, actions Actions) *Engine {
 	return &Engine{
 		cfg: cfg, actions: actions, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.GatewayIndex))),
@@ -73,54 +74,54 @@
 	}
 }
 
-// Start begins the engine's life at the given time.
+// Start starts the bandwidth manager and, if they must be polled, the endpoint updates.
 func (e *Engine) Start(now time.Duration) {
-	e.startedAt, e.manager.lastRun = now, now
-	e.actions.StartTimer(managerPeriod, Timer{Kind: TimerManager})
+	e.startedAt, e.bandwidth.lastRun = now, now
+	e.actions.StartTimer(bandwidthManagerPeriod, Timer{Kind: TimerBandwidthManager})
 	if e.cfg.PolledEndpoints {
 		e.actions.WatchEndpoints(true)
 	}
 }
 
-// Submit takes a client's request, which is owed one final answer.
-func (e *Engine) Submit(now time.Duration, in Request) {
-	if in.Class < 0 || in.Class >= len(e.cfg.Classes) || in.TimeLeft <= 0 {
-		e.reasons.note(RefusedInvalid)
-		e.actions.Reject(in.ID, 0)
+// Submit handles a new request of a client, which must get exactly one final answer.
+func (e *Engine) Submit(now time.Duration, req Request) {
+	if req.Class < 0 || req.Class >= len(e.cfg.Classes) || req.TimeLeft <= 0 {
+		e.reasons.record(RefusedInvalid)
+		e.actions.Reject(req.ID, 0)
 		return
 	}
-	if !(in.Units > 0) || math.IsInf(in.Units, 0) {
-		in.Units = 1
+	if !(req.Units > 0) || math.IsInf(req.Units, 0) {
+		req.Units = 1
 	}
-	r := &request{Request: in, class: &e.cfg.Classes[in.Class], arrivedAt: now, deadline: now + in.TimeLeft}
-	r.customer = e.customerFor(now, &in)
-	e.requests[in.ID] = r
+	r := &request{Request: req, class: &e.cfg.Classes[req.Class], arrivedAt: now, deadline: now + req.TimeLeft}
+	r.customer = e.customerFor(now, &req)
+	e.requests[req.ID] = r
 	e.retryTokens = min(maxRetryTokens, e.retryTokens+retryTokensPerRequest)
 	e.admit(now, r)
 }
 
-// ResponseStarted tells that an answer has begun to stream to the client.
+// ResponseStarted records that an answer has begun to stream to the client.
 func (e *Engine) ResponseStarted(now time.Duration, id RequestID, attempt int, endpoint EndpointID) {
 	if ep := e.endpoints[endpoint]; ep != nil {
-		ep.lastResponse = now
+		ep.lastResponseAt = now
 	}
-	if r := e.requests[id]; r != nil && r.inFlight != nil && r.attempt == attempt {
+	if r := e.requests[id]; r != nil && r.currentEndpoint != nil && r.currentAttempt == attempt {
 		r.responseStarted = true
 	}
 }
 
-// AttemptFinished takes the result of one attempt, and may start another.
+// AttemptFinished handles the result of one attempt and may start another attempt.
 func (e *Engine) AttemptFinished(now time.Duration, result AttemptResult) {
-	ep := e.endpoints[result.Endpoint] // releaseInFlight may forget it
+	ep := e.endpoints[result.Endpoint] // looked up first, because releaseInFlight may delete it
 	r := e.requests[result.Request]
-	current := r != nil && r.inFlight != nil && r.attempt == result.Attempt
+	current := r != nil && r.currentEndpoint != nil && r.currentAttempt == result.Attempt
 	units := 1.0
 	if current {
 		units = r.Units
-		e.releaseInFlight(r.inFlight, units)
+		e.releaseInFlight(r.currentEndpoint, units)
 	} else if orphan, ok := e.orphans[result.Request]; ok && r == nil {
 		units = orphan.Units
-		e.releaseInFlight(orphan.inFlight, units)
+		e.releaseInFlight(orphan.currentEndpoint, units)
 		delete(e.orphans, result.Request)
 	}
 	if ep != nil {
@@ -132,9 +133,9 @@
 	e.recordReading(now, r, result, current)
 	switch result.Status {
 	case StatusOK:
-		e.addPressure(result.Latency.Seconds() / r.class.LatencyObjective.Seconds())
+		e.recordLatencyRatio(result.Latency.Seconds() / r.class.LatencyObjective.Seconds())
 	case StatusRejected, StatusTimedOut:
-		e.addPressure(maxPressureSample)
+		e.recordLatencyRatio(maxLatencyRatio)
 	}
 	if current {
 		r.endAttempt(result.Status)
@@ -143,25 +144,26 @@
 	case result.RequestDone:
 		e.removeRequest(r)
 	case current && result.Status == StatusLocalFailure:
-		e.retryOrHold(now, r)
+		e.requeueOrFinish(now, r)
 	case current:
 		e.retryOrFinish(now, r)
 	}
 }
 
-// ClientDisconnected tells that the client has gone and is owed nothing any more.
+// ClientDisconnected handles the loss of a client, whose request needs no answer any more.
 func (e *Engine) ClientDisconnected(_ time.Duration, id RequestID) {
 	r := e.requests[id]
 	if r == nil {
 		return
 	}
-	if r.inFlight != nil && e.cfg.CanCancel && !r.responseStarted {
-		e.actions.CancelAttempt(id, r.attempt)
+	if r.currentEndpoint != nil && e.cfg.CanCancel && !r.responseStarted {
+		e.actions.CancelAttempt(id, r.currentAttempt)
 	}
 	e.removeRequest(r)
 }
 
-// BeginShutdown brings the deadline of each open request forward to answerBy. Later ones bring their own.
+// BeginShutdown moves the deadline of each open request forward to answerBy. It does not change the deadlines
+// of requests that are submitted later.
 func (e *Engine) BeginShutdown(now, answerBy time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(e.requests)) {
 		r := e.requests[id]
@@ -172,55 +174,56 @@
 	}
 }
 
-// TimerFired tells that a timer is due. One that is no longer pending is ignored.
+// TimerFired handles a timer that is due. A timer that is no longer pending is ignored.
 func (e *Engine) TimerFired(now time.Duration, timer Timer) {
 	if !e.TimerPending(timer) {
 		return
 	}
 	r := e.requests[timer.Request]
 	switch timer.Kind {
-	case TimerManager:
-		e.runManager(now)
-		e.actions.StartTimer(managerPeriod, timer)
+	case TimerBandwidthManager:
+		e.runBandwidthManager(now)
+		e.actions.StartTimer(bandwidthManagerPeriod, timer)
 	case TimerWatch:
 		e.actions.WatchEndpoints(true)
 	case TimerRelease:
 		r.queued = false
-		r.customer.heldRequests--
+		r.customer.queuedRequests--
 		e.dispatch(now, r)
 	case TimerSilence:
 		e.checkSilence(now, r)
 	}
 }
 
-// TimerPending reports whether a timer would still have an effect. One that would not may be dropped.
+// TimerPending reports whether a timer would still have an effect. A timer that would not may be dropped.
 func (e *Engine) TimerPending(timer Timer) bool {
 	r := e.requests[timer.Request]
 	switch timer.Kind {
 	case TimerRelease:
 		return r != nil && r.queued
 	case TimerSilence:
-		return r != nil && r.inFlight != nil && r.attempt == timer.Attempt
+		return r != nil && r.currentEndpoint != nil && r.currentAttempt == timer.Attempt
 	}
 	return true
 }
 
-// removeRequest forgets a request that has its final answer or needs none.
+// removeRequest removes a request that has its final answer or needs none. While an attempt of it is in
+// flight, it stays among the orphans, so that the units of the attempt can be released.
 func (e *Engine) removeRequest(r *request) {
 	if r.queued {
 		r.queued = false
-		r.customer.heldRequests--
+		r.customer.queuedRequests--
 	}
 	if r.forwarded {
 		r.customer.openRequests--
 	}
-	if r.inFlight != nil {
+	if r.currentEndpoint != nil {
 		e.orphans[r.ID] = r
 	}
 	delete(e.requests, r.ID)
 }
 
-// seconds converts to a duration; what is not a number or too large becomes a million seconds.
+// seconds converts seconds to a duration. NaN and values of 1e6 and more become a million seconds.
 func seconds(s float64) time.Duration {
 	if !(s < 1e6) {
 		return 1e6 * time.Second
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -3,22 +3,22 @@
 import "time"
 
 const (
-	retryTokensPerRequest = 0.2  // retry budget earned by each request
-	maxRetryTokens        = 10.0 // and the most saved up
-	silenceFactor         = 8.0  // an attempt is moved after this multiple of its expected latency
-	overdueMargin         = 1.01 // an attempt is late just past endpointLateThreshold
+	retryTokensPerRequest = 0.2  // retry budget that each submitted request earns, in retries
+	maxRetryTokens        = 10.0 // largest retry budget, in retries
+	silenceFactor         = 8.0  // multiple of its expected latency after which an attempt is retried elsewhere
+	overdueMargin         = 1.01 // factor that puts the check of an attempt just past endpointLateThreshold
 )
 
-// endAttempt notes that the attempt in flight has ended, and whether it may have been executed.
+// endAttempt records that the attempt in flight has ended, and whether it may have been executed.
 func (r *request) endAttempt(status Status) {
-	if !status.neverRan() && status != StatusOK && r.mayHaveRunOn == nil {
-		r.mayHaveRunOn, r.mayHaveRunAt = r.inFlight, r.sentAt
+	if !status.neverExecuted() && status != StatusOK && r.mayHaveRunOn == nil {
+		r.mayHaveRunOn, r.mayHaveRunAt = r.currentEndpoint, r.sentAt
 	}
-	r.inFlight = nil
+	r.currentEndpoint = nil
 }
 
-// neverRan reports whether an attempt that ended so was certainly not executed.
-func (s Status) neverRan() bool {
+// neverExecuted reports whether an attempt with this outcome was certainly not executed.
+func (s Status) neverExecuted() bool {
 	switch s {
 	case StatusRejected, StatusConnectFailed, StatusNotSent, StatusLocalFailure:
 		return true
@@ -27,23 +27,23 @@
 	}
 }
 
-// retryOrHold goes on after an attempt that failed on this machine. No endpoint was asked, so that it costs
-// nothing of the retry budget; but the next attempt would fail at once in the same way, so it waits for a
-// moment first.
-func (e *Engine) retryOrHold(now time.Duration, r *request) {
-	delay := r.class.LatencyObjective / queueRetries
+// requeueOrFinish continues a request after an attempt that failed on the gateway's own machine. No endpoint
+// received the attempt, so that a retry costs nothing of the retry budget. The request is queued for a
+// moment, because the next attempt would fail in the same way at once.
+func (e *Engine) requeueOrFinish(now time.Duration, r *request) {
+	delay := r.class.LatencyObjective / queueRetriesPerObjective
 	switch {
 	case e.attemptsExhausted(r):
 		e.finish(r, RefusedAttemptsUsed)
 	case now+delay+e.expectedLatency(r.Units) >= r.deadline:
 		e.finish(r, RefusedNoTimeForRetry)
 	default:
-		e.reasons.note(RetriedAfterLocal)
-		e.hold(r, delay)
+		e.reasons.record(RetriedAfterLocal)
+		e.enqueue(r, delay)
 	}
 }
 
-// retryOrFinish retries where rules, time and the retry budget allow it.
+// retryOrFinish retries a request if its deadline, the retry budget and the attempt limit allow it.
 func (e *Engine) retryOrFinish(now time.Duration, r *request) {
 	switch {
 	case r.deadline-now <= e.expectedLatency(r.Units):
@@ -53,18 +53,20 @@
 	case e.attemptsExhausted(r):
 		e.finish(r, RefusedAttemptsUsed)
 	default:
-		e.reasons.note(RetriedAfterFailure)
+		e.reasons.record(RetriedAfterFailure)
 		e.retryTokens--
 		e.dispatch(now, r)
 	}
 }
 
+// attemptsExhausted reports whether a request has had all of its attempts.
 func (e *Engine) attemptsExhausted(r *request) bool {
 	return e.cfg.MaxAttempts > 0 && r.attempts >= e.cfg.MaxAttempts
 }
 
-// attemptAllowed keeps the rule on repeats: anywhere while no attempt may have been executed; then only where
-// repeats are deduplicated, and only while the idempotency key is remembered.
+// attemptAllowed reports whether idempotency allows an attempt at an endpoint. Any endpoint is allowed while
+// no attempt may have been executed. After that, a request that is not idempotent may only be repeated with
+// an idempotency key: at endpoints that share the key, and while they remember it.
 func (e *Engine) attemptAllowed(now time.Duration, r *request, ep *endpoint) bool {
 	if r.mayHaveRunOn == nil || r.class.Idempotency == Idempotent {
 		return true
@@ -77,55 +79,60 @@
 	return zoneAllowed && cellAllowed
 }
 
-// canReject reports whether a rejection may still be given, which promises that nothing has run.
+// canReject reports whether a request may still be rejected. A rejection promises that nothing has been
+// executed; for an idempotent request this does not matter.
 func (r *request) canReject() bool {
-	return r.inFlight == nil && r.mayHaveRunOn == nil || r.class.Idempotency == Idempotent
+	return r.currentEndpoint == nil && r.mayHaveRunOn == nil || r.class.Idempotency == Idempotent
 }
 
-// silenceTimeout is when an attempt is looked at that has not been answered.
+// silenceTimeout is the time after which an attempt that has not been answered is checked.
 func (e *Engine) silenceTimeout(r *request) time.Duration {
 	objective := r.class.LatencyObjective.Seconds()
 	overdue := overdueMargin * endpointLateThreshold * objective
 	return seconds(min(max(silenceFactor*e.latencyPerUnit*r.Units, objective/4), overdue))
 }
 
-// checkSilence looks at an attempt that has not been answered. Overdue, it counts as late for the limits.
-// Past what an answer takes at most it is retried elsewhere; earlier that would only multiply the work.
+// checkSilence checks an attempt that has not been answered. An overdue attempt counts as late for the
+// concurrency limits. After silenceFactor times its expected latency, more than an answer should ever take,
+// the attempt is retried elsewhere; an earlier retry would only multiply the load.
 func (e *Engine) checkSilence(now time.Duration, r *request) {
-	if r.responseStarted { // a stream belongs to the client and may last
+	if r.responseStarted { // a streamed answer may last as long as the client accepts
 		return
 	}
 	age := now - r.sentAt
-	if !r.overtaken() {
+	if !r.laterAttemptAnswered() {
 		late := age.Seconds() > endpointLateThreshold*r.class.LatencyObjective.Seconds()
-		e.adjustLimits(now, r.inFlight, r, late, age)
+		e.adjustLimits(now, r.currentEndpoint, r, late, age)
 	}
 	if !e.cfg.CanCancel || now >= r.deadline {
 		return
 	}
 	due := seconds(silenceFactor * e.latencyPerUnit * r.Units)
-	if age >= due && e.mayMove(now, r) {
-		if r.inFlight.lastResponse <= r.sentAt {
-			e.recordFailure(now, r.inFlight, EjectedAfterSilence) // it has answered nothing else either
+	if age >= due && e.mayRetryElsewhere(now, r) {
+		if r.currentEndpoint.lastResponseAt <= r.sentAt {
+			e.recordFailure(now, r.currentEndpoint, EjectedAfterSilence) // nothing else was answered either
 		}
-		e.reasons.note(RetriedAfterSilence)
-		e.actions.CancelAttempt(r.ID, r.attempt)
+		e.reasons.record(RetriedAfterSilence)
+		e.actions.CancelAttempt(r.ID, r.currentAttempt)
 		return
 	}
 	next := e.silenceTimeout(r)
 	if age < due {
 		next = due - age
 	}
-	e.actions.StartTimer(next, Timer{TimerSilence, r.ID, r.attempt})
+	e.actions.StartTimer(next, Timer{TimerSilence, r.ID, r.currentAttempt})
 }
 
-// mayMove reports whether the attempt in flight may be cancelled and retried elsewhere.
-func (e *Engine) mayMove(now time.Duration, r *request) bool {
+// mayRetryElsewhere reports whether the attempt in flight may be cancelled and retried at another endpoint.
+func (e *Engine) mayRetryElsewhere(now time.Duration, r *request) bool {
 	keyRemembered := r.class.Idempotency == IdempotentByKey && now < r.sentAt+r.class.KeyTTL
 	timeLeft := r.deadline-now > e.expectedLatency(r.Units)
 	affordable := e.retryTokens >= 1 && !e.attemptsExhausted(r)
 	return (r.class.Idempotency == Idempotent || keyRemembered) && timeLeft && affordable
 }
 
-// overtaken reports whether the answer seems lost, which is no sign of load: later attempts were answered.
-func (r *request) overtaken() bool { return r.inFlight != nil && r.sentAt < r.inFlight.newestAnswered }
+// laterAttemptAnswered reports whether the endpoint has answered an attempt that was sent later. The answer
+// to this one is then probably lost, which is no sign of load.
+func (r *request) laterAttemptAnswered() bool {
+	return r.currentEndpoint != nil && r.sentAt < r.currentEndpoint.newestAnsweredSentAt
+}
