--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestRequestWithinQuotaIsForwardedAtOnce(t *testing.T) {
-	gateway := start(config(), 3)
+	gateway := startTestGateway(testConfig(), 3)
 	gateway.submit(1, idempotentClass, costlyPlan, 1)
 	if len(gateway.forwarded) != 1 {
 		t.Fatalf("not forwarded at once: %v", gateway.log)
@@ -21,7 +21,7 @@
 
 // exceedQuotaUnderOverload makes the back end look overloaded and the customer of costlyPlan over its quota.
 // The peak usage is so high that a customer's hold is the full one of its quota.
-func exceedQuotaUnderOverload(gateway *recorder) {
+func exceedQuotaUnderOverload(gateway *testGateway) {
 	engine := gateway.engine
 	gateway.submit(1, idempotentClass, costlyPlan, 1)
 	gateway.finish(1, StatusOK, 1)
@@ -31,7 +31,7 @@
 }
 
 func TestHeldRequestsAreReleasedInTurn(t *testing.T) {
-	gateway := start(config(), 3)
+	gateway := startTestGateway(testConfig(), 3)
 	exceedQuotaUnderOverload(gateway)
 	for id := RequestID(2); id <= 4; id++ {
 		gateway.submit(id, idempotentClass, costlyPlan, 1)
@@ -57,7 +57,7 @@
 }
 
 func TestSoftQuotaAppliesOnlyUnderOverload(t *testing.T) {
-	gateway := start(config(), 3)
+	gateway := startTestGateway(testConfig(), 3)
 	for id := RequestID(1); id <= 12; id++ {
 		gateway.submit(id, idempotentClass, softPlan, 1)
 	}
@@ -73,7 +73,7 @@
 
 func TestCeilingStartsEmptyAndIsNeverExceeded(t *testing.T) {
 	const unitsEach = 2.0
-	gateway := start(config(), 3)
+	gateway := startTestGateway(testConfig(), 3)
 	gateway.submit(1, idempotentClass, ceilingPlan, unitsEach)
 	if len(gateway.forwarded) != 0 {
 		t.Fatal("a gateway that has just started forwarded a request under a ceiling")
@@ -103,7 +103,7 @@
 // Many customers send a single request. The ceiling of one that is new has filled since the gateway's start,
 // so its first request need not be held, and the ceiling still holds.
 func TestCeilingOfNewCustomerHasFilledSinceStart(t *testing.T) {
-	gateway := start(config(), 3)
+	gateway := startTestGateway(testConfig(), 3)
 	gateway.advanceTo(time.Minute)
 	gateway.submit(1, idempotentClass, ceilingPlan, 4)
 	if len(gateway.forwarded) != 1 {
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestDrainingAndRemovedEndpointsGetNothing(t *testing.T) {
-	gateway := start(config(), 2)
+	gateway := startTestGateway(testConfig(), 2)
 	draining := []Endpoint{{ID: 1, Weight: 1, State: StateDraining}}
 	gateway.engine.UpdateEndpoints(0, UpdateDelta, draining)
 	gateway.engine.UpdateEndpoints(0, UpdateFull, draining) // endpoint 2 is absent: removed
@@ -21,10 +21,10 @@
 // A gateway of a large fleet gets an answer of an endpoint every few seconds, and an endpoint may become slow
 // in less: two slow answers must show.
 func TestTwoSlowAnswersRaiseCost(t *testing.T) {
-	gateway := start(config(), 4)
+	gateway := startTestGateway(testConfig(), 4)
 	engine := gateway.engine
 	gateway.submit(1, idempotentClass, unknownPlan, 1)
-	ep := gateway.endpointOf(0)
+	ep := gateway.endpointOfAttempt(0)
 	ep.latencyPerUnit, engine.latencyPerUnit = 0.05, 0.05
 	before := engine.cost(gateway.now, ep, 1)
 	slow := AttemptResult{Endpoint: ep.ID, Latency: 200 * time.Millisecond}
@@ -38,7 +38,7 @@
 
 // An endpoint that is full rejects at once and so looks idle. It must not attract the retries.
 func TestRejectionRaisesCostAndLowersLimit(t *testing.T) {
-	gateway := start(config(), 1)
+	gateway := startTestGateway(testConfig(), 1)
 	engine, ep := gateway.engine, gateway.engine.endpoints[1]
 	engine.latencyPerUnit = 0.1
 	costBefore := engine.cost(gateway.now, ep, 1)
@@ -56,9 +56,9 @@
 	const gateways, endpoints = 50, 20
 	usedByAny := map[EndpointID]bool{}
 	for index := range gateways {
-		cfg := config()
+		cfg := testConfig()
 		cfg.GatewayIndex, cfg.GatewayCount = index, gateways
-		gateway := start(cfg, endpoints)
+		gateway := startTestGateway(cfg, endpoints)
 		used := map[EndpointID]bool{}
 		for id := RequestID(1); id <= 30; id++ {
 			gateway.now += 200 * time.Millisecond
@@ -66,7 +66,7 @@
 				TimeLeft: time.Second, Units: 1, SetSize: 1})
 			endpoint := gateway.lastForwarded().endpoint
 			used[endpoint], usedByAny[endpoint] = true, true
-			gateway.finishFirst(id, endpoint, StatusOK, 50*time.Millisecond)
+			gateway.finishFirstAttempt(id, endpoint, StatusOK, 50*time.Millisecond)
 		}
 		if len(used) > 3 {
 			t.Fatalf("gateway %d used %d endpoints with one request in flight at a time", index, len(used))
@@ -79,7 +79,7 @@
 
 // An endpoint that is removed with an attempt in flight must be used again when it is listed again.
 func TestEndpointReturnsAfterRemovalWithAttemptInFlight(t *testing.T) {
-	gateway := start(config(), 1)
+	gateway := startTestGateway(testConfig(), 1)
 	engine := gateway.engine
 	removed := []Endpoint{{ID: 1, State: StateRemoved}}
 	gateway.submit(1, nonIdempotentClass, unknownPlan, 1)
@@ -100,7 +100,7 @@
 // With hundreds of endpoints, most of them warming up, a sum over the fleet for each of them at each choice
 // would be a hundred thousand steps a request. The sum is kept, and has to follow every kind of update.
 func TestReadyWeightFollowsEndpointList(t *testing.T) {
-	gateway := start(config(), 3)
+	gateway := startTestGateway(testConfig(), 3)
 	engine := gateway.engine
 	engine.forwardRate = 10
 	warmUpRate := func() float64 {
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestInvalidEventsAreHarmless(t *testing.T) {
-	gateway := start(config(), 1)
+	gateway := startTestGateway(testConfig(), 1)
 	engine := gateway.engine
 	engine.Submit(0, Request{ID: 1, Class: 9, Plan: unknownPlan, TimeLeft: time.Second})
 	engine.Submit(0, Request{ID: 2, Plan: unknownPlan, TimeLeft: time.Second, Units: math.NaN()})
@@ -30,7 +30,7 @@
 		{GatewayIndex: 9, GatewayCount: 3, Classes: classes, Plans: []Plan{{QuotaRate: 1, CeilingRate: 1}}},
 		{GatewayIndex: -4, GatewayCount: -1, MeterPeriod: -1, WarmUpDuration: time.Second, Classes: classes},
 	} {
-		gateway := newRecorder(cfg, 0)
+		gateway := newTestGateway(cfg, 0)
 		engine := gateway.engine
 		engine.UpdateEndpoints(0, UpdateFull, nil)
 		engine.Submit(0, Request{ID: 1, TimeLeft: time.Second, Units: 1})
@@ -54,7 +54,7 @@
 
 func TestSameEventsLeadToSameActions(t *testing.T) {
 	run := func() []string {
-		gateway := start(config(), 3)
+		gateway := startTestGateway(testConfig(), 3)
 		for id := RequestID(1); id <= 300; id++ {
 			gateway.engine.Submit(gateway.now, Request{ID: id, Class: int(id) % 3, Plan: int(id) % 3,
 				Customer: CustomerID(id % 17), TimeLeft: time.Second, Units: float64(id%4 + 1), SetSize: 2})
@@ -73,7 +73,7 @@
 // The gateway drops timers that are not pending, so a timer must be pending for as long as it would have an
 // effect, and no longer.
 func TestTimerIsPendingWhileItHasAnEffect(t *testing.T) {
-	gateway := start(config(), 2)
+	gateway := startTestGateway(testConfig(), 2)
 	engine := gateway.engine
 	managerTimer := gateway.lastTimer
 	gateway.submit(1, idempotentClass, costlyPlan, 1)
@@ -102,7 +102,7 @@
 // An attempt releases exactly the units that it took, also when its client has disconnected or its endpoint
 // was removed meanwhile. Otherwise the limits would close for ever.
 func TestFinishedAttemptReleasesItsUnits(t *testing.T) {
-	gateway := start(config(), 3)
+	gateway := startTestGateway(testConfig(), 3)
 	engine := gateway.engine
 	for id := RequestID(1); id <= 8; id++ {
 		gateway.submit(id, idempotentClass, costlyPlan, 4)
@@ -114,7 +114,7 @@
 		if id%2 == 0 {
 			engine.UpdateEndpoints(gateway.now, UpdateDelta, []Endpoint{{ID: endpoint, State: StateRemoved}})
 		}
-		gateway.finishFirst(id, endpoint, StatusCancelled, 0)
+		gateway.finishFirstAttempt(id, endpoint, StatusCancelled, 0)
 		engine.UpdateEndpoints(gateway.now, UpdateDelta, []Endpoint{{ID: endpoint, Weight: 1, State: StateReady}})
 		ep := engine.endpoints[endpoint]
 		if engine.inFlightUnits != 0 || ep.inFlightUnits != 0 || ep.inFlight != 0 || len(engine.orphans) != 0 {
@@ -126,7 +126,7 @@
 }
 
 func TestShutdownAnswersHeldRequests(t *testing.T) {
-	gateway := start(config(), 3)
+	gateway := startTestGateway(testConfig(), 3)
 	exceedQuotaUnderOverload(gateway)
 	gateway.submit(2, idempotentClass, costlyPlan, 1) // held for 100 ms
 	gateway.engine.BeginShutdown(gateway.now, gateway.now+10*time.Millisecond)
@@ -141,9 +141,9 @@
 // endpoint with capacity or was between two attempts, and whether or not attempts may be cancelled.
 func TestRequestOfDisconnectedClientIsNotForwarded(t *testing.T) {
 	for _, canCancel := range []bool{true, false} {
-		cfg := config()
+		cfg := testConfig()
 		cfg.CanCancel = canCancel
-		disconnect := func(situation string, gateway *recorder, id RequestID, wantForwarded int) {
+		disconnect := func(situation string, gateway *testGateway, id RequestID, wantForwarded int) {
 			t.Helper()
 			gateway.engine.ClientDisconnected(gateway.now, id)
 			gateway.advance(5 * time.Second)
@@ -153,28 +153,28 @@
 			}
 		}
 
-		gateway := start(cfg, 3)
+		gateway := startTestGateway(cfg, 3)
 		exceedQuotaUnderOverload(gateway)
 		gateway.submit(2, idempotentClass, costlyPlan, 1)
 		disconnect("held", gateway, 2, 1)
 
-		gateway = start(cfg, 3)
+		gateway = startTestGateway(cfg, 3)
 		gateway.engine.pausedUntil = 100 * time.Millisecond
 		gateway.submit(1, idempotentClass, costlyPlan, 1)
 		disconnect("waiting for an endpoint", gateway, 1, 0)
 
-		gateway = start(cfg, 3)
+		gateway = startTestGateway(cfg, 3)
 		gateway.submit(1, idempotentClass, costlyPlan, 1)
 		gateway.engine.ClientDisconnected(gateway.now, 1)
-		gateway.finishFirst(1, gateway.forwarded[0].endpoint, StatusRejected, 0)
+		gateway.finishFirstAttempt(1, gateway.forwarded[0].endpoint, StatusRejected, 0)
 		disconnect("between attempts", gateway, 1, 1)
 
-		gateway = start(cfg, 3)
+		gateway = startTestGateway(cfg, 3)
 		gateway.engine.latencyPerUnit = 0.01
 		gateway.submit(1, idempotentClass, costlyPlan, 1)
 		gateway.engine.ClientDisconnected(gateway.now, 1)
 		gateway.advance(time.Second) // the attempt's silence timer fires before it ends in one way or another
-		gateway.finishFirst(1, gateway.forwarded[0].endpoint, StatusTimedOut, 0)
+		gateway.finishFirstAttempt(1, gateway.forwarded[0].endpoint, StatusTimedOut, 0)
 		disconnect("after a silent attempt", gateway, 1, 1)
 		if len(gateway.engine.orphans) != 0 || gateway.engine.inFlightUnits != 0 {
 			t.Errorf("%d orphans, %v units in flight", len(gateway.engine.orphans), gateway.engine.inFlightUnits)
--- a/policy/first_start_test.go
+++ b/policy/first_start_test.go
@@ -19,7 +19,7 @@
 type firstStartFleet struct {
 	cfg       Config
 	rng       *rand.Rand
-	gateways  []*recorder
+	gateways  []*testGateway
 	seen      []int // attempts of each gateway that have been recorded
 	nextID    RequestID
 	inFlight  []fleetAttempt
@@ -31,7 +31,7 @@
 
 // newFirstStartFleet starts a fleet with the rule on slow start that the operators' settings give.
 func newFirstStartFleet(gateways int, quietBefore time.Duration) *firstStartFleet {
-	cfg := config()
+	cfg := testConfig()
 	cfg.GatewayCount, cfg.Classes[idempotentClass].LatencyObjective = gateways, 2*time.Second
 	cfg.WarmUpInitialCapacity, cfg.WarmUpDuration = 0.16, 16*time.Second
 	cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 2.5, 3*time.Second
@@ -41,7 +41,7 @@
 	for index := range gateways {
 		cfg := cfg
 		cfg.GatewayIndex, cfg.Seed = index, fleet.rng.Uint64()
-		gateway := newRecorder(cfg, firstStartAt-quietBefore)
+		gateway := newTestGateway(cfg, firstStartAt-quietBefore)
 		gateway.advanceTo(firstStartAt)
 		gateway.engine.UpdateEndpoints(firstStartAt, UpdateFull, list)
 		fleet.gateways = append(fleet.gateways, gateway)
@@ -93,7 +93,7 @@
 		attempt := f.inFlight[0]
 		f.inFlight = f.inFlight[1:]
 		attempt.gateway.advanceTo(now)
-		attempt.gateway.finishFirst(attempt.request, attempt.endpoint, StatusOK, fleetLatency)
+		attempt.gateway.finishFirstAttempt(attempt.request, attempt.endpoint, StatusOK, fleetLatency)
 	}
 }
 
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Indexes of the classes and plans of config.
+// Indexes of the classes and plans of testConfig.
 const (
 	idempotentClass    = 0
 	keyedClass         = 1
@@ -22,8 +22,8 @@
 // noUsage stands for the usage of an answer that carries no reading.
 const noUsage = -1
 
-// config is the configuration that most tests start from.
-func config() Config {
+// testConfig returns the configuration that most tests start from.
+func testConfig() Config {
 	return Config{
 		GatewayCount:    2,
 		Seed:            7,
@@ -76,8 +76,8 @@
 	return first, true
 }
 
-// recorder is a gateway around an engine: it records the engine's actions and fires its timers.
-type recorder struct {
+// testGateway is a gateway around an engine: it records the engine's actions and fires its timers.
+type testGateway struct {
 	engine    *Engine
 	now       time.Duration
 	log       []string // all actions but the timers, as text
@@ -95,17 +95,17 @@
 	at       time.Duration
 }
 
-// newRecorder returns a gateway whose engine starts at the given time and knows no endpoint.
-func newRecorder(cfg Config, now time.Duration) *recorder {
-	gateway := &recorder{now: now}
+// newTestGateway returns a gateway whose engine starts at the given time and knows no endpoint.
+func newTestGateway(cfg Config, now time.Duration) *testGateway {
+	gateway := &testGateway{now: now}
 	gateway.engine = New(cfg, gateway)
 	gateway.engine.Start(now)
 	return gateway
 }
 
-// start returns a gateway with warm endpoints 1 to count, all in zone 0 but the last.
-func start(cfg Config, count int) *recorder {
-	gateway := newRecorder(cfg, 0)
+// startTestGateway returns a gateway with warm endpoints 1 to count, all in zone 0 but the last.
+func startTestGateway(cfg Config, count int) *testGateway {
+	gateway := newTestGateway(cfg, 0)
 	list := readyEndpoints(count)
 	list[count-1].Zone = 1
 	gateway.engine.UpdateEndpoints(0, UpdateCached, list)
@@ -121,40 +121,40 @@
 	return list
 }
 
-func (r *recorder) record(format string, values ...any) {
+func (r *testGateway) record(format string, values ...any) {
 	r.log = append(r.log, fmt.Sprintf("%v ", r.now)+fmt.Sprintf(format, values...))
 }
 
-func (r *recorder) Forward(id RequestID, endpoint EndpointID, _ time.Duration) {
+func (r *testGateway) Forward(id RequestID, endpoint EndpointID, _ time.Duration) {
 	r.forwarded = append(r.forwarded, forwardedAttempt{id, endpoint, r.now})
 	r.record("forward %d to %d", id, endpoint)
 }
 
-func (r *recorder) Reject(id RequestID, _ time.Duration) {
+func (r *testGateway) Reject(id RequestID, _ time.Duration) {
 	r.rejected = append(r.rejected, id)
 	r.record("reject %d", id)
 }
 
-func (r *recorder) Fail(id RequestID) {
+func (r *testGateway) Fail(id RequestID) {
 	r.failed = append(r.failed, id)
 	r.record("fail %d", id)
 }
 
-func (r *recorder) CancelAttempt(id RequestID, attempt int) {
+func (r *testGateway) CancelAttempt(id RequestID, attempt int) {
 	r.cancelled = append(r.cancelled, id)
 	r.record("cancel %d attempt %d", id, attempt)
 }
 
-func (r *recorder) StartTimer(after time.Duration, timer Timer) {
+func (r *testGateway) StartTimer(after time.Duration, timer Timer) {
 	r.lastTimer = timer
 	at := r.now + after
 	r.queue.add(at, func() { r.engine.TimerFired(at, timer) })
 }
 
-func (r *recorder) WatchEndpoints(on bool) { r.record("watch %v", on) }
+func (r *testGateway) WatchEndpoints(on bool) { r.record("watch %v", on) }
 
 // advanceTo fires the timers that are due by the given time, in order.
-func (r *recorder) advanceTo(until time.Duration) {
+func (r *testGateway) advanceTo(until time.Duration) {
 	for due, ok := r.queue.popDue(until); ok; due, ok = r.queue.popDue(until) {
 		r.now = due.at
 		due.run()
@@ -163,16 +163,16 @@
 }
 
 // advance fires the timers that are due within the given time from now.
-func (r *recorder) advance(by time.Duration) { r.advanceTo(r.now + by) }
+func (r *testGateway) advance(by time.Duration) { r.advanceTo(r.now + by) }
 
 // submit submits a request of the one customer that a plan has in most tests, which two gateways carry.
-func (r *recorder) submit(id RequestID, class, plan int, units float64) {
+func (r *testGateway) submit(id RequestID, class, plan int, units float64) {
 	r.engine.Submit(r.now, Request{ID: id, Class: class, Plan: plan, Customer: CustomerID(plan + 1),
 		TimeLeft: 2 * time.Second, Units: units, SetSize: 2})
 }
 
 // submitSpread submits a request of a customer of plan 0 that is spread over so many gateways.
-func (r *recorder) submitSpread(id RequestID, units float64, gateways int) {
+func (r *testGateway) submitSpread(id RequestID, units float64, gateways int) {
 	r.engine.Submit(r.now, Request{ID: id, Plan: 0, Customer: spreadCustomer,
 		TimeLeft: time.Second, Units: units, SetSize: gateways})
 }
@@ -181,7 +181,7 @@
 const spreadCustomer CustomerID = 5
 
 // finish ends the latest attempt of a request after 50 ms.
-func (r *recorder) finish(id RequestID, status Status, usage float64) {
+func (r *testGateway) finish(id RequestID, status Status, usage float64) {
 	result := AttemptResult{Request: id, Attempt: -1, Status: status, Latency: 50 * time.Millisecond,
 		RequestDone: status == StatusOK, HasUsage: usage >= 0, Usage: usage}
 	for _, attempt := range r.forwarded {
@@ -193,21 +193,21 @@
 	r.engine.AttemptFinished(r.now, result)
 }
 
-// finishFirst ends the first attempt of a request that needs no further one.
-func (r *recorder) finishFirst(id RequestID, endpoint EndpointID, status Status, latency time.Duration) {
+// finishFirstAttempt ends the first attempt of a request that needs no further one.
+func (r *testGateway) finishFirstAttempt(id RequestID, endpoint EndpointID, status Status, latency time.Duration) {
 	r.engine.AttemptFinished(r.now, AttemptResult{Request: id, Endpoint: endpoint, Status: status,
 		Latency: latency, RequestDone: true})
 }
 
-// forwardedLast reports whether the latest attempt is one of the given request.
-func (r *recorder) forwardedLast(id RequestID) bool {
+// lastForwardedIs reports whether the latest attempt is one of the given request.
+func (r *testGateway) lastForwardedIs(id RequestID) bool {
 	return len(r.forwarded) > 0 && r.lastForwarded().request == id
 }
 
-func (r *recorder) lastForwarded() forwardedAttempt { return r.forwarded[len(r.forwarded)-1] }
+func (r *testGateway) lastForwarded() forwardedAttempt { return r.forwarded[len(r.forwarded)-1] }
 
-// endpointOf returns the endpoint of the attempt with the given place in the order of forwarding.
-func (r *recorder) endpointOf(attempt int) *endpoint {
+// endpointOfAttempt returns the endpoint of the attempt with the given place in the order of forwarding.
+func (r *testGateway) endpointOfAttempt(attempt int) *endpoint {
 	return r.engine.endpoints[r.forwarded[attempt].endpoint]
 }
 
--- a/policy/metering_test.go
+++ b/policy/metering_test.go
@@ -8,9 +8,9 @@
 // In a customer far over its quota the reject probability goes on rising at the last reading, also in the
 // metering periods in which no answer brings one.
 func TestRejectProbabilityMovesWithoutNewReadings(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.GatewayCount = 60
-	engine := start(cfg, 9).engine
+	engine := startTestGateway(cfg, 9).engine
 	c := engine.customerFor(0, &Request{Customer: spreadCustomer, Plan: costlyPlan, SetSize: 60})
 	engine.recordUsage(0, c, 3)
 	afterReading := c.rejectProbability
@@ -29,9 +29,9 @@
 // plan costs: the reject probability starts as after the periods that its burst lasts.
 func TestFirstReadingOverQuotaEmptiesBucket(t *testing.T) {
 	for _, cost := range []float64{0.5, 1.2} {
-		cfg := config()
+		cfg := testConfig()
 		cfg.GatewayCount, cfg.Plans[costlyPlan].OverQuotaCost = 300, cost
-		engine := start(cfg, 3).engine
+		engine := startTestGateway(cfg, 3).engine
 		c := engine.customerFor(0, &Request{Customer: spreadCustomer, Plan: costlyPlan, SetSize: 150})
 		engine.recordUsage(time.Second, c, 3)
 		if c.fleetBucket.tokens != 0 || c.rejectProbability < 0.8 {
@@ -45,16 +45,16 @@
 // took itself for the only one, it would refill its own bucket with nearly the whole quota.
 func TestZeroReadingKeepsEvenSplit(t *testing.T) {
 	const seeds = 20
-	cfg := config()
+	cfg := testConfig()
 	cfg.GatewayCount, cfg.MeterPeriod = 300, time.Second
 	cfg.Plans = []Plan{{QuotaRate: 8, Burst: 30, PriceFactor: 1, OverQuotaCost: 1}}
 	forwarded := 0
 	for cfg.Seed = 1; cfg.Seed <= seeds; cfg.Seed++ {
-		gateway := start(cfg, 3)
+		gateway := startTestGateway(cfg, 3)
 		for id := RequestID(1); id <= 20; id++ {
 			gateway.advance(200 * time.Millisecond)
 			gateway.submitSpread(id, 2, 200)
-			if gateway.forwardedLast(id) {
+			if gateway.lastForwardedIs(id) {
 				gateway.finish(id, StatusOK, 0)
 			}
 		}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -9,11 +9,11 @@
 // it seldom. One failure is enough to eject it for a second, and then it is not tried with a request that
 // must not run twice.
 func TestFailureEjectsAndOnlyIdempotentRequestsAreTrials(t *testing.T) {
-	gateway := start(config(), 4)
+	gateway := startTestGateway(testConfig(), 4)
 	engine := gateway.engine
 	engine.retryTokens = 0
 	gateway.submit(1, idempotentClass, unknownPlan, 1)
-	failing := gateway.endpointOf(0)
+	failing := gateway.endpointOfAttempt(0)
 	gateway.finish(1, StatusServerError, noUsage)
 	if !failing.ejected {
 		t.Fatal("not ejected after a failure")
@@ -51,11 +51,11 @@
 // An endpoint that drains rejects requests for seconds before the endpoint list says so, and a gateway with
 // little traffic goes on meeting it. It is ejected for a second, then for two.
 func TestRejectingEndpointIsEjectedWithBackoff(t *testing.T) {
-	gateway := start(config(), 4)
+	gateway := startTestGateway(testConfig(), 4)
 	engine := gateway.engine
 	engine.retryTokens = 0
 	gateway.submit(1, idempotentClass, unknownPlan, 1)
-	ep := gateway.endpointOf(0)
+	ep := gateway.endpointOfAttempt(0)
 	gateway.finish(1, StatusRejected, noUsage)
 	if !ep.ejected || ep.nextTrial != gateway.now+minEjection {
 		t.Fatalf("ejected %v until %v after a rejection", ep.ejected, ep.nextTrial)
@@ -67,7 +67,7 @@
 	}
 	gateway.submit(2, idempotentClass, unknownPlan, 1)
 	gateway.finish(2, StatusOK, noUsage)
-	if gateway.endpointOf(1) == ep {
+	if gateway.endpointOfAttempt(1) == ep {
 		t.Error("forwarded to an ejected endpoint")
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -16,9 +16,9 @@
 // time would take minutes to rise again, while the endpoints are idle.
 func TestLateAnswersKeepMinimumLimit(t *testing.T) {
 	const gateways, endpoints = 80, 60
-	cfg := config()
+	cfg := testConfig()
 	cfg.GatewayCount = gateways
-	gateway := start(cfg, endpoints)
+	gateway := startTestGateway(cfg, endpoints)
 	engine := gateway.engine
 	for i := range 200 {
 		gateway.now += 100 * time.Millisecond
@@ -45,9 +45,9 @@
 // Late answers lower both limits, so that requests queue at the gateway, and not at endpoints that would go
 // on working on requests that are too late.
 func TestLateAnswersLowerLimits(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.GatewayCount = 100 // they share one endpoint, so a gateway's minimum is a share of the time
-	gateway := start(cfg, 1)
+	gateway := startTestGateway(cfg, 1)
 	engine, ep := gateway.engine, gateway.engine.endpoints[1]
 	lost := newRequest(engine, 1, nil)
 	for range 100 {
@@ -91,17 +91,17 @@
 // requests in ten were rejected for many seconds. An attempt that was overtaken by a later one at the same
 // endpoint is moved and lowers no limit.
 func TestLostAnswersLowerNoLimit(t *testing.T) {
-	gateway := start(config(), 3)
+	gateway := startTestGateway(testConfig(), 3)
 	engine := gateway.engine
 	engine.latencyPerUnit = 0.025
 	gateway.submit(1, idempotentClass, costlyPlan, 1)
-	ep := gateway.endpointOf(0)
+	ep := gateway.endpointOfAttempt(0)
 	limitBefore := ep.limit
 	gateway.advanceTo(time.Millisecond)
 	gateway.submit(2, idempotentClass, costlyPlan, 1)
 	for id := RequestID(3); gateway.lastForwarded().endpoint != ep.ID; id++ { // until one goes to the same endpoint
 		gateway.submit(id, idempotentClass, costlyPlan, 1)
-		if !gateway.forwardedLast(id) {
+		if !gateway.lastForwardedIs(id) {
 			t.Fatalf("request %d was not forwarded: %v", id, gateway.log)
 		}
 	}
@@ -119,7 +119,7 @@
 
 // Under overload, a request that cannot be answered in time costs no capacity.
 func TestRequestThatWouldBeLateIsRejectedUnderOverload(t *testing.T) {
-	gateway := start(config(), 3)
+	gateway := startTestGateway(testConfig(), 3)
 	engine := gateway.engine
 	engine.latencyPerUnit, engine.overloaded, engine.pressure = 0.6, true, 1
 	gateway.submit(1, idempotentClass, unknownPlan, 1)
@@ -135,7 +135,7 @@
 
 // The limits keep latencies low, so latencies alone no longer show an overload.
 func TestLackOfCapacityIsOverload(t *testing.T) {
-	gateway := start(config(), 1)
+	gateway := startTestGateway(testConfig(), 1)
 	engine, ep := gateway.engine, gateway.engine.endpoints[1]
 	ep.limit, ep.inFlight, ep.inFlightUnits = 1, 1, 1
 	for id := RequestID(1); id <= 10; id++ {
@@ -150,9 +150,9 @@
 // Under overload within the quotas, requests of low priority leave the last of an endpoint's capacity to
 // those of high priority.
 func TestLowPriorityLeavesReserveUnderOverload(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.Plans[softPlan].PriceFactor = 0.2 // a fifth of what costlyPlan earns
-	gateway := start(cfg, 1)
+	gateway := startTestGateway(cfg, 1)
 	engine, ep := gateway.engine, gateway.engine.endpoints[1]
 	engine.overloaded, engine.pressure = true, 1
 	ep.limit, ep.inFlight, ep.inFlightUnits, ep.lastResponse = 4, 2, 2, 0
--- a/policy/overuse_test.go
+++ b/policy/overuse_test.go
@@ -26,10 +26,10 @@
 	} {
 		admitted, admittedOnRetry := 0, 0
 		for index := range 300 {
-			cfg := config()
+			cfg := testConfig()
 			cfg.GatewayCount, cfg.GatewayIndex, cfg.Seed = 300, index, uint64(index)
 			cfg.Plans = []Plan{{QuotaRate: test.quota, Burst: 10, PriceFactor: 1, OverQuotaCost: test.cost}}
-			gateway := start(cfg, 3)
+			gateway := startTestGateway(cfg, 3)
 			for id := RequestID(1); id <= 5 && len(gateway.forwarded) == 0; id++ {
 				gateway.now += 500 * time.Millisecond
 				gateway.engine.Submit(gateway.now, Request{ID: id, Plan: 0, Customer: 9,
@@ -53,24 +53,24 @@
 	const ownPlan, otherPlan = 0, 1
 	admittedBeside := func(otherCost float64) (admitted int) {
 		for seed := range uint64(300) {
-			cfg := config()
+			cfg := testConfig()
 			cfg.GatewayCount, cfg.Seed = 300, seed
 			cfg.Plans = []Plan{
 				{QuotaRate: 2, Burst: 10, PriceFactor: 1, OverQuotaCost: 1},
 				{QuotaRate: 2, Burst: 10, PriceFactor: 1, OverQuotaCost: otherCost},
 			}
-			gateway := start(cfg, 3)
+			gateway := startTestGateway(cfg, 3)
 			for id := RequestID(2); id <= 20; id++ { // the other plan requests nineteen times as much
 				gateway.engine.Submit(gateway.now, Request{ID: id, Plan: otherPlan, Customer: CustomerID(id),
 					TimeLeft: 2 * time.Second, Units: 2, SetSize: 150})
-				if gateway.forwardedLast(id) {
+				if gateway.lastForwardedIs(id) {
 					gateway.finish(id, StatusOK, 0.3)
 				}
 			}
 			gateway.advanceTo(time.Second)
 			gateway.engine.Submit(gateway.now, Request{ID: 1, Plan: ownPlan, Customer: 1,
 				TimeLeft: 2 * time.Second, Units: 2, SetSize: 150})
-			if gateway.forwardedLast(1) {
+			if gateway.lastForwardedIs(1) {
 				admitted++
 			}
 		}
@@ -88,10 +88,10 @@
 // often. A single reading counts little, what readings tell decays, and nothing raises admission.
 func TestCostlyReadingsLowerAdmissionOfUnknownUsage(t *testing.T) {
 	correctionAfter := func(usage, cost float64, readings int, wait time.Duration) float64 {
-		cfg := config()
+		cfg := testConfig()
 		cfg.GatewayCount = 300
 		cfg.Plans = []Plan{{QuotaRate: 10, Burst: 20, PriceFactor: 1, OverQuotaCost: cost}}
-		gateway := start(cfg, 3)
+		gateway := startTestGateway(cfg, 3)
 		engine := gateway.engine
 		c := engine.customerFor(0, &Request{Customer: spreadCustomer, SetSize: 150})
 		r := newRequest(engine, 2, c)
@@ -124,11 +124,11 @@
 func TestCostlyReadingsRejectMoreRequests(t *testing.T) {
 	admittedAfter := func(meteredCost, overQuotaShare float64) (admitted int) {
 		for seed := range uint64(200) {
-			cfg := config()
+			cfg := testConfig()
 			cfg.GatewayCount, cfg.Seed = 300, seed
 			plan := Plan{QuotaRate: 10, Burst: 20, PriceFactor: 1, OverQuotaCost: 1}
 			cfg.Plans = []Plan{plan, plan}
-			gateway := start(cfg, 3)
+			gateway := startTestGateway(cfg, 3)
 			overuse := &gateway.engine.overuse
 			overuse.meteredValue, overuse.meteredCost, overuse.meteredNumber = 600, meteredCost*600, 100
 			overuse.plans[0] = overuseStats{200, 200 * overQuotaShare}
@@ -149,11 +149,11 @@
 // A plan of which readings show more units over quota than of the others is admitted less, the others more. A
 // few readings change little, and without any all plans weigh alike.
 func TestPlanRatioFollowsReadings(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.GatewayCount = 300
 	plan := Plan{QuotaRate: 10, Burst: 20, PriceFactor: 1, OverQuotaCost: 1}
 	cfg.Plans = []Plan{plan, plan}
-	gateway := start(cfg, 3)
+	gateway := startTestGateway(cfg, 3)
 	engine, overuse := gateway.engine, &gateway.engine.overuse
 	ratiosAfter := func(readings int) (within, over float64) {
 		for range readings {
@@ -184,14 +184,14 @@
 // little: the even split is then granted more than once. Where overuse is costly it is not.
 func TestCheapOveruseLocksNoCustomerOut(t *testing.T) {
 	forwardedAt := func(cost float64) int {
-		cfg := config()
+		cfg := testConfig()
 		cfg.GatewayCount, cfg.MeterPeriod, cfg.Seed = 300, 0, 2
 		cfg.Plans = []Plan{{QuotaRate: 20, Burst: 50, PriceFactor: 1, OverQuotaCost: cost}}
-		gateway := start(cfg, 3)
+		gateway := startTestGateway(cfg, 3)
 		for id := RequestID(1); id <= 10; id++ {
 			gateway.advance(time.Second)
 			gateway.submitSpread(id, 2, 150)
-			if gateway.forwardedLast(id) {
+			if gateway.lastForwardedIs(id) {
 				gateway.finish(id, StatusOK, noUsage)
 			}
 		}
--- a/policy/pacing_test.go
+++ b/policy/pacing_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestHoldSecondsFormula(t *testing.T) {
-	engine := start(config(), 3).engine
+	engine := startTestGateway(testConfig(), 3).engine
 	manager := &engine.manager
 	c := &customer{plan: &Plan{QuotaRate: 10}, avgUsage: 4}
 	manager.peakUsage, manager.totalQuota, manager.totalUsage = 100, 40, 20
--- a/policy/properties_scenario_test.go
+++ b/policy/properties_scenario_test.go
@@ -84,7 +84,7 @@
 }
 
 func drawConfig(t *rapid.T) Config {
-	cfg := config()
+	cfg := testConfig()
 	cfg.GatewayCount = rapid.SampledFrom([]int{2, 2, 1, 4, 0}).Draw(t, "gateways")
 	cfg.GatewayIndex = rapid.SampledFrom([]int{0, 0, 0, 1, -1, 9}).Draw(t, "gateway")
 	cfg.Seed = rapid.Uint64().Draw(t, "seed")
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestQuotaRuleRejectsOnEmptyBucket(t *testing.T) {
-	gateway := start(config(), 3)
+	gateway := startTestGateway(testConfig(), 3)
 	gateway.submit(1, idempotentClass, costlyPlan, 1)
 	gateway.finish(1, StatusOK, 2)
 	c := gateway.engine.customers[costlyPlan+1]
@@ -30,7 +30,7 @@
 }
 
 func TestQuotaIsSplitEvenlyBeforeFirstReading(t *testing.T) {
-	gateway := start(config(), 3)
+	gateway := startTestGateway(testConfig(), 3)
 	for id := RequestID(1); id <= 12; id++ {
 		gateway.submit(id, idempotentClass, costlyPlan, 1)
 	}
@@ -42,7 +42,7 @@
 // Before the meter has seen a surge, the units that this gateway forwarded since the last reading drain its
 // own bucket.
 func TestSurgeBeforeTheMeterIsLimitedByOwnUnits(t *testing.T) {
-	gateway := start(config(), 9)
+	gateway := startTestGateway(testConfig(), 9)
 	for id := RequestID(1); id <= 60; id++ { // 60 units at once; this gateway's share is about half
 		gateway.submit(id, idempotentClass, costlyPlan, 1)
 		gateway.finish(id, StatusOK, 0.5)
@@ -56,15 +56,15 @@
 // burst is a sixth of one request, and the debt of one would last for ten seconds.
 func TestCustomerWithinQuotaIsServedByOneOfManyGateways(t *testing.T) {
 	const gateways = 60
-	cfg := config()
+	cfg := testConfig()
 	cfg.GatewayCount, cfg.Plans[costlyPlan].OverQuotaCost = gateways, 1
 	for cfg.Seed = 1; cfg.Seed <= 50; cfg.Seed++ {
-		gateway := start(cfg, 9)
+		gateway := startTestGateway(cfg, 9)
 		nextID := RequestID(1)
 		submitNext := func() { // a unit a second here of three; the quota is 10
 			gateway.advance(2 * time.Second)
 			gateway.submitSpread(nextID, 2, gateways)
-			if gateway.forwardedLast(nextID) {
+			if gateway.lastForwardedIs(nextID) {
 				gateway.finish(nextID, StatusOK, 0.3)
 			}
 			nextID++
@@ -98,15 +98,15 @@
 		{usage: 0.3, overQuotaCost: 1.2, gateways: 160, least: 0, most: 4}, // overuse costs more than it would earn
 		{usage: 0.3, overQuotaCost: 0.5, gateways: 35, least: 0, most: 6},  // not sparse: 0.57 units
 	} {
-		cfg := config()
+		cfg := testConfig()
 		cfg.GatewayCount, cfg.Plans[costlyPlan].OverQuotaCost = 160, test.overQuotaCost
 		cfg.Seed = 2 // its gateway admits the first request
-		gateway := start(cfg, 9)
+		gateway := startTestGateway(cfg, 9)
 		gateway.advanceTo(5 * time.Second)
 		for id := RequestID(1); id <= 21; id++ {
 			gateway.advance(200 * time.Millisecond)
 			gateway.submitSpread(id, 2, test.gateways)
-			if gateway.forwardedLast(id) {
+			if gateway.lastForwardedIs(id) {
 				gateway.finish(id, StatusOK, test.usage)
 			}
 		}
@@ -121,9 +121,9 @@
 func TestUnusedQuotaRefillsOverdrawnBucket(t *testing.T) {
 	const debt = 500
 	refilled := func(usage float64, overloaded bool) float64 {
-		cfg := config()
+		cfg := testConfig()
 		cfg.Seed = 2 // its gateway admits the first request
-		gateway := start(cfg, 3)
+		gateway := startTestGateway(cfg, 3)
 		gateway.submitSpread(1, 1, 50)
 		c := gateway.engine.customers[spreadCustomer]
 		if len(gateway.forwarded) != 1 {
@@ -147,11 +147,11 @@
 // A hundred gateways that each forward a request whenever the whole quota has earned one would forward a
 // hundred quotas: the estimated bucket keeps a debt.
 func TestEstimatedBucketKeepsDebt(t *testing.T) {
-	gateway := start(config(), 3)
+	gateway := startTestGateway(testConfig(), 3)
 	for id := RequestID(1); id <= 100; id++ { // one of 20 gateways, 1 unit a second for 100 s, quota 10
 		gateway.now += time.Second
 		gateway.submitSpread(id, 1, 20)
-		if gateway.forwardedLast(id) {
+		if gateway.lastForwardedIs(id) {
 			gateway.finish(id, StatusOK, noUsage)
 		}
 	}
@@ -162,9 +162,9 @@
 }
 
 func TestConcurrencyQuotaIsSplitEvenly(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.Plans[costlyPlan] = Plan{MaxConcurrent: 4, OverQuotaCost: 0.5}
-	gateway := start(cfg, 3)
+	gateway := startTestGateway(cfg, 3)
 	for id := RequestID(1); id <= 3; id++ {
 		gateway.submit(id, idempotentClass, costlyPlan, 1)
 	}
--- a/policy/reason_test.go
+++ b/policy/reason_test.go
@@ -18,7 +18,7 @@
 
 // What the engine refuses, retries and ejects has its reason.
 func TestReasonsAreCounted(t *testing.T) {
-	count := func(gateway *recorder, want Reason) uint64 {
+	count := func(gateway *testGateway, want Reason) uint64 {
 		for _, counted := range gateway.engine.ReasonCounts() {
 			if counted.Reason == want {
 				return counted.Count
@@ -28,43 +28,43 @@
 	}
 	for _, test := range []struct {
 		want Reason
-		run  func(gateway *recorder)
+		run  func(gateway *testGateway)
 	}{
-		{RefusedInvalid, func(g *recorder) { g.engine.Submit(0, Request{ID: 1}) }},
-		{RefusedTooManyOpen, func(g *recorder) {
+		{RefusedInvalid, func(g *testGateway) { g.engine.Submit(0, Request{ID: 1}) }},
+		{RefusedTooManyOpen, func(g *testGateway) {
 			g.engine.cfg.MaxOpenRequests = 1
 			g.submit(1, idempotentClass, unknownPlan, 1)
 			g.submit(2, idempotentClass, unknownPlan, 1)
 		}},
-		{RefusedNoCapacity, func(g *recorder) {
+		{RefusedNoCapacity, func(g *testGateway) {
 			g.engine.UpdateEndpoints(0, UpdateFull, nil)
 			g.submit(1, idempotentClass, unknownPlan, 1)
 			g.advance(time.Second)
 		}},
-		{RefusedNoRetryBudget, func(g *recorder) {
+		{RefusedNoRetryBudget, func(g *testGateway) {
 			g.submit(1, idempotentClass, unknownPlan, 1)
 			g.engine.retryTokens = 0
 			g.finish(1, StatusServerError, noUsage)
 		}},
-		{RefusedAttemptsUsed, func(g *recorder) {
+		{RefusedAttemptsUsed, func(g *testGateway) {
 			g.engine.cfg.MaxAttempts = 1
 			g.submit(1, idempotentClass, unknownPlan, 1)
 			g.finish(1, StatusServerError, noUsage)
 		}},
-		{RetriedAfterFailure, func(g *recorder) {
+		{RetriedAfterFailure, func(g *testGateway) {
 			g.submit(1, idempotentClass, unknownPlan, 1)
 			g.finish(1, StatusServerError, noUsage)
 		}},
-		{RetriedAfterLocal, func(g *recorder) {
+		{RetriedAfterLocal, func(g *testGateway) {
 			g.submit(1, idempotentClass, unknownPlan, 1)
 			g.finish(1, StatusLocalFailure, noUsage)
 		}},
-		{EjectedAfterFailure, func(g *recorder) {
+		{EjectedAfterFailure, func(g *testGateway) {
 			g.submit(1, idempotentClass, unknownPlan, 1)
 			g.finish(1, StatusServerError, noUsage)
 		}},
 	} {
-		gateway := start(config(), 4)
+		gateway := startTestGateway(testConfig(), 4)
 		test.run(gateway)
 		if got := count(gateway, test.want); got != 1 {
 			t.Errorf("%v counted %d times: %v", test.want, got, gateway.log)
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -18,7 +18,7 @@
 		{nonIdempotentClass, StatusConnectFailed, true},
 		{nonIdempotentClass, StatusRejected, true},
 	} {
-		gateway := start(config(), 3)
+		gateway := startTestGateway(testConfig(), 3)
 		gateway.submit(1, test.class, costlyPlan, 1)
 		first := gateway.forwarded[0].endpoint
 		gateway.finish(1, test.status, noUsage)
@@ -36,7 +36,7 @@
 }
 
 func TestNoRetryAfterKeyHasExpired(t *testing.T) {
-	gateway := start(config(), 3)
+	gateway := startTestGateway(testConfig(), 3)
 	gateway.submit(1, keyedClass, costlyPlan, 1)
 	gateway.now = 1100 * time.Millisecond
 	gateway.finish(1, StatusReset, noUsage)
@@ -46,7 +46,7 @@
 }
 
 func TestSilentAttemptIsRetriedElsewhere(t *testing.T) {
-	gateway := start(config(), 3)
+	gateway := startTestGateway(testConfig(), 3)
 	engine := gateway.engine
 	gateway.submit(1, idempotentClass, costlyPlan, 1)
 	first := gateway.forwarded[0].endpoint
@@ -69,7 +69,7 @@
 // Where every endpoint is slow, and shared by so many gateways that each seldom gets an answer of one, moving
 // attempts would only multiply the work.
 func TestSlowAttemptIsNotMoved(t *testing.T) {
-	gateway := start(config(), 3)
+	gateway := startTestGateway(testConfig(), 3)
 	gateway.engine.latencyPerUnit = 0.15
 	gateway.submit(1, idempotentClass, unknownPlan, 1)
 	gateway.advanceTo(1100 * time.Millisecond)
@@ -84,9 +84,9 @@
 
 // A streamed response may last longer than any objective. It is no sign of a slow endpoint and is never moved.
 func TestStreamedResponseIsNotMoved(t *testing.T) {
-	gateway := start(config(), 2)
+	gateway := startTestGateway(testConfig(), 2)
 	gateway.submit(1, idempotentClass, unknownPlan, 1)
-	ep := gateway.endpointOf(0)
+	ep := gateway.endpointOfAttempt(0)
 	gateway.engine.ResponseStarted(0, 1, 0, ep.ID)
 	limitBefore := ep.limit
 	gateway.advanceTo(1900 * time.Millisecond)
@@ -99,7 +99,7 @@
 // moment and is tried again, also one that must not run twice.
 func TestLocalFailureIsRetriedWithoutEjection(t *testing.T) {
 	for _, class := range []int{idempotentClass, keyedClass, nonIdempotentClass} {
-		gateway := start(config(), 4)
+		gateway := startTestGateway(testConfig(), 4)
 		engine := gateway.engine
 		engine.retryTokens = 0
 		gateway.submit(1, class, unknownPlan, 1)
@@ -129,9 +129,9 @@
 
 // A failure that lasts ends in a rejection in time, which promises that nothing has run.
 func TestLocalFailureThatLastsIsRejectedInTime(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.MaxAttempts = 0
-	gateway := start(cfg, 2)
+	gateway := startTestGateway(cfg, 2)
 	gateway.submit(1, nonIdempotentClass, unknownPlan, 1)
 	deadline := gateway.engine.requests[1].deadline
 	for len(gateway.rejected) == 0 && gateway.now < deadline {
@@ -148,7 +148,7 @@
 // An endpoint that alone cannot be reached from this machine is avoided.
 func TestEndpointThatAloneFailsLocallyIsAvoided(t *testing.T) {
 	const requests = 40
-	gateway := start(config(), 2)
+	gateway := startTestGateway(testConfig(), 2)
 	unreachable, met := EndpointID(1), 0
 	for id := RequestID(1); id <= requests; id++ {
 		gateway.submit(id, idempotentClass, unknownPlan, 1)
--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -50,7 +50,7 @@
 const firstSimulatedID = 100
 
 func newSimulatedFleet(day simulatedDay) *simulatedFleet {
-	cfg := config()
+	cfg := testConfig()
 	cfg.GatewayCount = day.gateways
 	cfg.Classes[keyedClass].KeyScope = []KeyScope{KeyScopeFleet, KeyScopeZone, KeyScopeCell}[day.seed%3]
 	day.configure(&cfg)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -7,7 +7,7 @@
 
 func TestWarmingEndpointGetsItsShareOfCapacity(t *testing.T) {
 	const warmingEndpoint = 2
-	gateway := start(config(), 3)
+	gateway := startTestGateway(testConfig(), 3)
 	engine := gateway.engine
 	engine.forwardRate = 60
 	gateway.now = 100 * time.Second
@@ -36,9 +36,9 @@
 	const gateways = 100
 	units := 0
 	for index := range gateways {
-		cfg := config()
+		cfg := testConfig()
 		cfg.GatewayCount, cfg.GatewayIndex, cfg.Seed = gateways, index, uint64(index)
-		gateway := start(cfg, 1)
+		gateway := startTestGateway(cfg, 1)
 		engine := gateway.engine
 		engine.forwardRate, gateway.now = 0.1, time.Second
 		engine.UpdateEndpoints(gateway.now, UpdateFull,
@@ -69,9 +69,9 @@
 	)
 	units := map[EndpointID]float64{}
 	for index := range gateways {
-		cfg := config()
+		cfg := testConfig()
 		cfg.GatewayIndex, cfg.GatewayCount, cfg.Seed = index, gateways, uint64(index)
-		gateway := start(cfg, warm)
+		gateway := startTestGateway(cfg, warm)
 		for id := RequestID(1); id <= 75; id++ { // 6 units a second for 25 s
 			gateway.advance(333 * time.Millisecond)
 			if id == 60 {
@@ -82,7 +82,7 @@
 				TimeLeft: time.Second, Units: unitsEach, SetSize: 1})
 			endpoint := gateway.lastForwarded().endpoint
 			units[endpoint] += unitsEach
-			gateway.finishFirst(id, endpoint, StatusOK, 200*time.Millisecond)
+			gateway.finishFirstAttempt(id, endpoint, StatusOK, 200*time.Millisecond)
 		}
 	}
 	// A warm endpoint's share is 8 units a second. From 0.2 to 0.7 of its capacity in 5 s, one that warms up
--- a/policy/warming_fleet_test.go
+++ b/policy/warming_fleet_test.go
@@ -33,7 +33,7 @@
 	cfg        Config
 	rng        *rand.Rand
 	now        time.Duration
-	gateways   []*recorder
+	gateways   []*testGateway
 	notifiedAt []time.Duration // when each gateway is notified of the endpoints that warm up
 	receiving  int             // so many gateways, the first ones, get all requests
 	sizes      []float64       // units of the requests, of which one is drawn
@@ -41,13 +41,13 @@
 	nextID     RequestID
 	inFlight   []fleetAttempt           // by when they end
 	forwarded  map[EndpointID][]unitsAt // to the endpoints that warm up
-	seen       map[*recorder]int        // attempts of each gateway that have been recorded
+	seen       map[*testGateway]int     // attempts of each gateway that have been recorded
 	units      map[RequestID]float64    // of each request
 }
 
 type fleetAttempt struct {
 	endsAt   time.Duration
-	gateway  *recorder
+	gateway  *testGateway
 	request  RequestID
 	endpoint EndpointID
 }
@@ -58,14 +58,14 @@
 }
 
 func newWarmingFleet(gateways int, largeRequests bool) *warmingFleet {
-	cfg := config()
+	cfg := testConfig()
 	cfg.GatewayCount, cfg.Classes[idempotentClass].LatencyObjective = gateways, 2*time.Second
 	cfg.WarmUpInitialCapacity, cfg.WarmUpDuration = 0.2, 12*time.Second
 	cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 2.5, 3*time.Second
 	fleet := &warmingFleet{cfg: cfg, rng: rand.New(rand.NewPCG(uint64(gateways), 11)),
-		gateways: make([]*recorder, gateways), notifiedAt: make([]time.Duration, gateways), receiving: gateways,
+		gateways: make([]*testGateway, gateways), notifiedAt: make([]time.Duration, gateways), receiving: gateways,
 		sizes: []float64{1, 1, 1, 1, 1, 2, 2, 2, 3, 4}, meanUnits: 1.8, forwarded: map[EndpointID][]unitsAt{},
-		seen: map[*recorder]int{}, units: map[RequestID]float64{}}
+		seen: map[*testGateway]int{}, units: map[RequestID]float64{}}
 	if largeRequests {
 		fleet.sizes, fleet.meanUnits = nil, 4
 	}
@@ -105,7 +105,7 @@
 func (f *warmingFleet) startGateway(index int) {
 	cfg := f.cfg
 	cfg.GatewayIndex, cfg.Seed = index, f.rng.Uint64()
-	gateway := newRecorder(cfg, f.now)
+	gateway := newTestGateway(cfg, f.now)
 	gateway.engine.UpdateEndpoints(f.now, UpdateCached, readyEndpoints(fleetWarmEndpoints))
 	f.gateways[index] = gateway
 }
@@ -136,7 +136,7 @@
 			status = StatusRejected
 		}
 		f.advance(attempt.gateway, attempt.endsAt)
-		attempt.gateway.finishFirst(attempt.request, attempt.endpoint, status, fleetLatency)
+		attempt.gateway.finishFirstAttempt(attempt.request, attempt.endpoint, status, fleetLatency)
 	}
 }
 
@@ -167,13 +167,13 @@
 }
 
 // advance lets time pass at a gateway. Requests that it has held may be forwarded meanwhile.
-func (f *warmingFleet) advance(gateway *recorder, until time.Duration) {
+func (f *warmingFleet) advance(gateway *testGateway, until time.Duration) {
 	gateway.advanceTo(max(until, gateway.now))
 	f.recordAttempts(gateway)
 }
 
 // recordAttempts notes the attempts that a gateway has made since the last call.
-func (f *warmingFleet) recordAttempts(gateway *recorder) {
+func (f *warmingFleet) recordAttempts(gateway *testGateway) {
 	for _, made := range gateway.forwarded[f.seen[gateway]:] {
 		attempt := fleetAttempt{made.at + fleetLatency, gateway, made.request, made.endpoint}
 		place := sort.Search(len(f.inFlight), func(i int) bool { return f.inFlight[i].endsAt > attempt.endsAt })
