--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// Guards against holding or rejecting a request of a customer within its quota while there is no overload.
 func TestRequestWithinQuotaIsForwardedAtOnce(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 3)
 	gateway.submit(1, idempotentClass, costlyPlan, 1)
@@ -19,8 +20,8 @@
 	}
 }
 
-// exceedQuotaUnderOverload makes the back end look overloaded and the customer of costlyPlan over its quota.
-// The peak usage is so high that a customer's hold is the full one of its quota.
+// exceedQuotaUnderOverload sets the engine's state to overloaded and the customer of costlyPlan to over its quota.
+// The peak usage is so high that its term in the hold formula vanishes and the quota alone sets the hold time.
 func exceedQuotaUnderOverload(gateway *testGateway) {
 	engine := gateway.engine
 	gateway.submit(1, idempotentClass, costlyPlan, 1)
@@ -30,6 +31,8 @@
 	engine.manager.someUnderQuota, engine.manager.peakUsage = true, 1e9
 }
 
+// Under overload, requests over quota are spaced out at the quota's rate, and rejected if that would hold them for
+// more than half of the latency objective.
 func TestHeldRequestsAreReleasedInTurn(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 3)
 	exceedQuotaUnderOverload(gateway)
@@ -40,7 +43,8 @@
 		t.Fatalf("forwarded under overload and over quota: %v", gateway.log)
 	}
 	gateway.advanceTo(time.Second)
-	// Holds of 0.1 s after one another; the third would exceed half the objective of 0.5 s.
+	// Each request is held for 0.1 s after the previous one. The third would be held for 0.3 s, which exceeds half of
+	// the objective of 0.5 s.
 	want := []forwardedAttempt{
 		{request: 2, at: 100 * time.Millisecond},
 		{request: 3, at: 200 * time.Millisecond},
@@ -48,14 +52,15 @@
 	for i, wanted := range want {
 		got := gateway.forwarded[i+1]
 		if got.request != wanted.request || (got.at-wanted.at).Abs() > time.Microsecond {
-			t.Errorf("release %d: %+v, want %+v", i, got, wanted)
+			t.Errorf("release %d: got %+v, want %+v", i, got, wanted)
 		}
 	}
 	if !reflect.DeepEqual(gateway.rejected, []RequestID{4}) {
-		t.Errorf("rejected %v, want request 4 whose hold is too long", gateway.rejected)
+		t.Errorf("rejected %v, want only request 4, whose hold is too long", gateway.rejected)
 	}
 }
 
+// A request over the quota of a soft plan still earns a part of its value, so it is rejected only under overload.
 func TestSoftQuotaAppliesOnlyUnderOverload(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 3)
 	for id := RequestID(1); id <= 12; id++ {
@@ -67,16 +72,18 @@
 	gateway.engine.overloaded = true
 	gateway.submit(13, idempotentClass, softPlan, 1)
 	if len(gateway.rejected) != 1 {
-		t.Errorf("not rejected under overload: %v", gateway.log)
+		t.Errorf("request over a soft quota was not rejected under overload: %v", gateway.log)
 	}
 }
 
+// A gateway that restarts must not grant the ceiling's burst again: its bucket starts empty and fills at the
+// gateway's share of the ceiling's rate.
 func TestCeilingStartsEmptyAndIsNeverExceeded(t *testing.T) {
 	const unitsEach = 2.0
 	gateway := startTestGateway(testConfig(), 3)
 	gateway.submit(1, idempotentClass, ceilingPlan, unitsEach)
 	if len(gateway.forwarded) != 0 {
-		t.Fatal("a gateway that has just started forwarded a request under a ceiling")
+		t.Fatal("a gateway that has just started forwarded a request of a plan with a ceiling")
 	}
 	id, answered := RequestID(2), 0
 	for gateway.now < 6*time.Second {
@@ -91,8 +98,8 @@
 	units := 0.0
 	for _, attempt := range gateway.forwarded {
 		units += unitsEach
-		if limit := 10 * attempt.at.Seconds(); units > limit+1e-6 { // half of 20 units a second
-			t.Fatalf("%v units forwarded by %v", units, attempt.at)
+		if limit := 10 * attempt.at.Seconds(); units > limit+1e-6 { // this gateway's half of 20 units/s
+			t.Fatalf("%v units forwarded within %v, which exceeds the ceiling", units, attempt.at)
 		}
 	}
 	if units < 50 {
@@ -100,17 +107,17 @@
 	}
 }
 
-// Many customers send a single request. The ceiling of one that is new has filled since the gateway's start,
-// so its first request need not be held, and the ceiling still holds.
-func TestCeilingOfNewCustomerHasFilledSinceStart(t *testing.T) {
+// Many customers send a single request. The ceiling bucket of a new customer counts as filling since the gateway's
+// start, so that its first request is not held. The ceiling is still kept.
+func TestNewCustomerCeilingFillsFromGatewayStart(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 3)
 	gateway.advanceTo(time.Minute)
 	gateway.submit(1, idempotentClass, ceilingPlan, 4)
 	if len(gateway.forwarded) != 1 {
-		t.Fatal("a new customer's first request is not forwarded at once")
+		t.Fatal("the first request of a new customer was not forwarded at once")
 	}
 	got := gateway.engine.customers[ceilingPlan+1].ceilingBucket.tokens
 	if want := gateway.engine.cfg.Plans[ceilingPlan].CeilingBurst/2 - 4; got != want {
-		t.Errorf("the ceiling's bucket holds %v units, want %v", got, want)
+		t.Errorf("the ceiling bucket holds %v units, want %v", got, want)
 	}
 }
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-func TestDrainingAndRemovedEndpointsGetNothing(t *testing.T) {
+// Guards against forwarding to an endpoint that drains or that a full endpoint list no longer contains.
+func TestDrainingAndRemovedEndpointsGetNoRequests(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 2)
 	draining := []Endpoint{{ID: 1, Weight: 1, State: StateDraining}}
 	gateway.engine.UpdateEndpoints(0, UpdateDelta, draining)
-	gateway.engine.UpdateEndpoints(0, UpdateFull, draining) // endpoint 2 is absent: removed
+	gateway.engine.UpdateEndpoints(0, UpdateFull, draining) // endpoint 2 is absent and so removed
 	gateway.submit(1, idempotentClass, costlyPlan, 1)
 	gateway.advanceTo(3 * time.Second)
 	if len(gateway.forwarded) != 0 || len(gateway.rejected) != 1 {
-		t.Errorf("%v", gateway.log)
+		t.Errorf("want a rejection without a forward: %v", gateway.log)
 	}
 }
 
-// A gateway of a large fleet gets an answer of an endpoint every few seconds, and an endpoint may become slow
-// in less: two slow answers must show.
+// In a large fleet a gateway gets only one answer from an endpoint every few seconds, and an endpoint can become slow
+// within that time. Two slow answers must therefore raise its cost clearly.
 func TestTwoSlowAnswersRaiseCost(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 4)
 	engine := gateway.engine
@@ -32,11 +33,11 @@
 		engine.recordResult(gateway.now, ep, slow, 1, engine.requests[1])
 	}
 	if after := engine.cost(gateway.now, ep, 1); after < 2.5*before {
-		t.Errorf("cost %v after two answers four times as slow, %v before", after, before)
+		t.Errorf("cost is %v after two answers at four times the usual latency, and was %v before", after, before)
 	}
 }
 
-// An endpoint that is full rejects at once and so looks idle. It must not attract the retries.
+// A full endpoint rejects at once, so by its latency and requests in flight it looks idle. It must not attract retries.
 func TestRejectionRaisesCostAndLowersLimit(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 1)
 	engine, ep := gateway.engine, gateway.engine.endpoints[1]
@@ -47,11 +48,11 @@
 	engine.retryTokens = 0
 	gateway.finish(1, StatusRejected, noUsage)
 	if cost := engine.cost(gateway.now, ep, 1); ep.limit >= limitBefore || cost <= costBefore {
-		t.Errorf("limit %v (before %v), cost %v (before %v) after a rejection", ep.limit, limitBefore, cost, costBefore)
+		t.Errorf("after a rejection: limit %v (before %v), cost %v (before %v)", ep.limit, limitBefore, cost, costBefore)
 	}
 }
 
-// Hundreds of gateways that use every endpoint would hold more connections than an endpoint accepts.
+// If hundreds of gateways each used every endpoint, they would open more connections than an endpoint accepts.
 func TestGatewayUsesFewEndpoints(t *testing.T) {
 	const gateways, endpoints = 50, 20
 	usedByAny := map[EndpointID]bool{}
@@ -69,16 +70,17 @@
 			gateway.finishFirstAttempt(id, endpoint, StatusOK, 50*time.Millisecond)
 		}
 		if len(used) > 3 {
-			t.Fatalf("gateway %d used %d endpoints with one request in flight at a time", index, len(used))
+			t.Fatalf("gateway %d used %d endpoints with one request in flight at a time, want at most 3", index, len(used))
 		}
 	}
 	if len(usedByAny) < 18 {
-		t.Errorf("%d gateways use %d of %d endpoints together", gateways, len(usedByAny), endpoints)
+		t.Errorf("all %d gateways together used %d of %d endpoints", gateways, len(usedByAny), endpoints)
 	}
 }
 
-// An endpoint that is removed with an attempt in flight must be used again when it is listed again.
-func TestEndpointReturnsAfterRemovalWithAttemptInFlight(t *testing.T) {
+// An endpoint that is removed while an attempt is in flight must be used again once it is listed again, and forgotten
+// once it has been removed and its last attempt has ended.
+func TestEndpointRemovedWithAttemptInFlightIsUsedWhenListedAgain(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 1)
 	engine := gateway.engine
 	removed := []Endpoint{{ID: 1, State: StateRemoved}}
@@ -88,17 +90,17 @@
 	gateway.finish(1, StatusOK, noUsage)
 	gateway.submit(2, idempotentClass, unknownPlan, 1)
 	if len(gateway.forwarded) != 2 {
-		t.Errorf("%v", gateway.log)
+		t.Errorf("the endpoint was not used after it was listed again: %v", gateway.log)
 	}
 	engine.UpdateEndpoints(0, UpdateDelta, removed)
 	gateway.finish(2, StatusOK, noUsage)
 	if len(engine.endpoints) != 0 {
-		t.Error("a removed endpoint is never forgotten")
+		t.Error("the removed endpoint was not forgotten after its last attempt ended")
 	}
 }
 
-// With hundreds of endpoints, most of them warming up, a sum over the fleet for each of them at each choice
-// would be a hundred thousand steps a request. The sum is kept, and has to follow every kind of update.
+// Summing the weights of hundreds of endpoints for each warming endpoint at each choice would take a hundred thousand
+// steps per request. The engine caches the sum instead, and every kind of list update must adjust it.
 func TestReadyWeightFollowsEndpointList(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 3)
 	engine := gateway.engine
@@ -120,7 +122,7 @@
 	} {
 		engine.UpdateEndpoints(0, test.kind, test.list)
 		if want := warmUpMargin * 2 * 10 / test.readyWeight; math.Abs(warmUpRate()-want) > 1e-9 {
-			t.Errorf("%+v: warm-up rate of %v units a second, want %v", test, warmUpRate(), want)
+			t.Errorf("%+v: warm-up rate is %v units/s, want %v", test, warmUpRate(), want)
 		}
 	}
 }
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -7,7 +7,9 @@
 	"time"
 )
 
-func TestInvalidEventsAreHarmless(t *testing.T) {
+// Guards against panics and leaked state after requests with invalid fields, and after results, disconnects and timers
+// of requests that the engine does not know.
+func TestInvalidEventsAreRejectedOrIgnored(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 1)
 	engine := gateway.engine
 	engine.Submit(0, Request{ID: 1, Class: 9, Plan: unknownPlan, TimeLeft: time.Second})
@@ -18,12 +20,12 @@
 	engine.ClientDisconnected(0, 99)
 	engine.TimerFired(0, Timer{Kind: math.MaxUint8, Request: math.MaxUint32, Attempt: math.MaxInt})
 	if len(gateway.rejected) != 2 || len(gateway.forwarded) != 1 || len(engine.requests) != 1 {
-		t.Errorf("%v", gateway.log)
+		t.Errorf("want two rejections, one forward and one open request: %v", gateway.log)
 	}
 }
 
-// A configuration that makes no sense must not lead to a panic, and each request still gets its answer.
-func TestInvalidConfigIsHarmless(t *testing.T) {
+// An inconsistent configuration must not cause a panic, and each request must still get an answer.
+func TestEngineWithInvalidConfigAnswersRequests(t *testing.T) {
 	classes := []Class{{LatencyObjective: time.Second}}
 	for i, cfg := range []Config{
 		{Classes: []Class{{}}, Plans: []Plan{{QuotaRate: 1}}},
@@ -38,7 +40,7 @@
 			[]Endpoint{{ID: 1, State: StateReady, Weight: math.NaN(), StartedAt: time.Millisecond}})
 		engine.Submit(gateway.now, Request{ID: 2, Plan: -7, TimeLeft: time.Second, SetSize: -3, SetFirst: 99})
 		gateway.advanceTo(500 * time.Millisecond)
-		for range 2 { // the second time is a duplicate
+		for range 2 { // each result is delivered twice
 			for _, attempt := range gateway.forwarded {
 				engine.AttemptFinished(gateway.now, AttemptResult{Request: attempt.request, Endpoint: attempt.endpoint,
 					Latency: time.Millisecond, RequestDone: true, HasUsage: true, Usage: math.NaN()})
@@ -47,11 +49,12 @@
 		gateway.advanceTo(3 * time.Second)
 		answers := len(gateway.rejected) + len(gateway.failed) + len(gateway.forwarded)
 		if answers != 2 || len(engine.requests) != 0 {
-			t.Errorf("configuration %d: %v", i, gateway.log)
+			t.Errorf("configuration %d: want two answers and no open requests: %v", i, gateway.log)
 		}
 	}
 }
 
+// The engine must be deterministic: map order or an unseeded random number must not change its actions.
 func TestSameEventsLeadToSameActions(t *testing.T) {
 	run := func() []string {
 		gateway := startTestGateway(testConfig(), 3)
@@ -66,12 +69,12 @@
 		return gateway.log
 	}
 	if first, second := run(), run(); !reflect.DeepEqual(first, second) || len(first) < 200 {
-		t.Errorf("two runs differ or have few actions (%d)", len(first))
+		t.Errorf("two runs differ or have too few actions (%d, want at least 200)", len(first))
 	}
 }
 
-// The gateway drops timers that are not pending, so a timer must be pending for as long as it would have an
-// effect, and no longer.
+// The gateway drops timers that the engine does not report as pending. A timer must therefore be pending exactly as
+// long as its firing would have an effect.
 func TestTimerIsPendingWhileItHasAnEffect(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 2)
 	engine := gateway.engine
@@ -79,28 +82,29 @@
 	gateway.submit(1, idempotentClass, costlyPlan, 1)
 	silenceTimer := gateway.lastTimer
 	if managerTimer.Kind != TimerManager || silenceTimer.Kind != TimerSilence {
-		t.Fatalf("started %+v and %+v, want the manager's timer and an attempt's", managerTimer, silenceTimer)
+		t.Fatalf("timers %+v and %+v were started, want the manager's timer and an attempt's silence timer",
+			managerTimer, silenceTimer)
 	}
 	if !engine.TimerPending(managerTimer) || !engine.TimerPending(silenceTimer) {
-		t.Error("a timer in use is not pending")
+		t.Error("the manager's timer or the silence timer of an attempt in flight is not pending")
 	}
 	gateway.finish(1, StatusOK, noUsage)
 	if !engine.TimerPending(managerTimer) || engine.TimerPending(silenceTimer) {
-		t.Error("after the answer not the manager's timer alone is pending")
+		t.Error("after the answer, want only the manager's timer to be pending")
 	}
-	gateway.submit(2, idempotentClass, ceilingPlan, 1) // held for the ceiling
+	gateway.submit(2, idempotentClass, ceilingPlan, 1) // held until its ceiling allows it
 	releaseTimer := gateway.lastTimer
 	if releaseTimer.Kind != TimerRelease || !engine.TimerPending(releaseTimer) {
-		t.Error("a held request's timer is not pending")
+		t.Error("the release timer of a held request is not pending")
 	}
 	engine.ClientDisconnected(gateway.now, 2)
 	if engine.TimerPending(releaseTimer) {
-		t.Error("the timer of a request whose client has disconnected is pending")
+		t.Error("the release timer of a request whose client has disconnected is still pending")
 	}
 }
 
-// An attempt releases exactly the units that it took, also when its client has disconnected or its endpoint
-// was removed meanwhile. Otherwise the limits would close for ever.
+// An attempt must release exactly the units that it took, even if its client disconnects or its endpoint is removed
+// before it ends. Units that are never released would use up the concurrency limits for good.
 func TestFinishedAttemptReleasesItsUnits(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 3)
 	engine := gateway.engine
@@ -118,13 +122,14 @@
 		engine.UpdateEndpoints(gateway.now, UpdateDelta, []Endpoint{{ID: endpoint, Weight: 1, State: StateReady}})
 		ep := engine.endpoints[endpoint]
 		if engine.inFlightUnits != 0 || ep.inFlightUnits != 0 || ep.inFlight != 0 || len(engine.orphans) != 0 {
-			t.Fatalf("after request %d: %v units in flight, at its endpoint %v units of %d attempts, %d orphans",
+			t.Fatalf("after request %d: %v units in flight, %v units of %d attempts at its endpoint, %d orphans; want none",
 				id, engine.inFlightUnits, ep.inFlightUnits, ep.inFlight, len(engine.orphans))
 		}
 		gateway.advance(2 * time.Second)
 	}
 }
 
+// Guards against requests that are left without an answer because their hold ends after the shutdown's deadline.
 func TestShutdownAnswersHeldRequests(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 3)
 	exceedQuotaUnderOverload(gateway)
@@ -133,12 +138,12 @@
 	gateway.advance(20 * time.Millisecond)
 	if len(gateway.forwarded) != 1 || !reflect.DeepEqual(gateway.rejected, []RequestID{2}) ||
 		len(gateway.engine.requests) != 0 {
-		t.Errorf("%v", gateway.log)
+		t.Errorf("want the held request to be rejected: %v", gateway.log)
 	}
 }
 
-// A request whose client has disconnected is not forwarded any more, whether it was held, waited for an
-// endpoint with capacity or was between two attempts, and whether or not attempts may be cancelled.
+// A request must not be forwarded after its client has disconnected, whether it is held, waits for an endpoint with
+// capacity or is between two attempts, and whether or not attempts may be cancelled.
 func TestRequestOfDisconnectedClientIsNotForwarded(t *testing.T) {
 	for _, canCancel := range []bool{true, false} {
 		cfg := testConfig()
@@ -149,7 +154,8 @@
 			gateway.advance(5 * time.Second)
 			answers := len(gateway.rejected) + len(gateway.failed)
 			if len(gateway.forwarded) != wantForwarded || answers != 0 || len(gateway.engine.requests) != 0 {
-				t.Errorf("%s, cancellation %v: %v", situation, canCancel, gateway.log)
+				t.Errorf("%s, cancellation %v: request was forwarded or answered after the disconnect: %v",
+					situation, canCancel, gateway.log)
 			}
 		}
 
@@ -173,11 +179,12 @@
 		gateway.engine.latencyPerUnit = 0.01
 		gateway.submit(1, idempotentClass, costlyPlan, 1)
 		gateway.engine.ClientDisconnected(gateway.now, 1)
-		gateway.advance(time.Second) // the attempt's silence timer fires before it ends in one way or another
+		gateway.advance(time.Second) // lets the attempt's silence timer fire before the attempt ends
 		gateway.finishFirstAttempt(1, gateway.forwarded[0].endpoint, StatusTimedOut, 0)
 		disconnect("after a silent attempt", gateway, 1, 1)
 		if len(gateway.engine.orphans) != 0 || gateway.engine.inFlightUnits != 0 {
-			t.Errorf("%d orphans, %v units in flight", len(gateway.engine.orphans), gateway.engine.inFlightUnits)
+			t.Errorf("%d orphans and %v units in flight are left, want none",
+				len(gateway.engine.orphans), gateway.engine.inFlightUnits)
 		}
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"springfield/policy"
 )
 
-// printer carries out no action: it prints what the engine decides.
+// printer implements policy.Actions by printing the engine's decisions without carrying them out.
 type printer struct{}
 
 func (printer) Forward(id policy.RequestID, endpoint policy.EndpointID, _ time.Duration) {
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Indexes of the classes and plans of testConfig.
+// Indexes of the classes and plans in testConfig.
 const (
 	idempotentClass    = 0
 	keyedClass         = 1
 	nonIdempotentClass = 2
 
-	costlyPlan  = 0 // use over quota costs
-	softPlan    = 1 // use over quota still earns a part
-	ceilingPlan = 2 // costly, with a hard limit beside the quota
-	unknownPlan = 9 // not configured, and so without quotas
+	costlyPlan  = 0 // requests over quota cost a part of their value
+	softPlan    = 1 // requests over quota still earn a part of their value
+	ceilingPlan = 2 // like costlyPlan, with a ceiling in addition to the quota
+	unknownPlan = 9 // not configured, so that no quota applies
 )
 
-// noUsage stands for the usage of an answer that carries no reading.
+// noUsage is passed as the usage of an answer that carries no usage reading.
 const noUsage = -1
 
 // testConfig returns the configuration that most tests start from.
@@ -53,40 +53,40 @@
 	}
 }
 
-// eventQueue orders events by time, and those of one time by when they were added.
-type eventQueue struct{ events []event }
+// eventQueue orders events by time. Events of the same time keep the order in which they were added.
+type eventQueue struct{ events []scheduledEvent }
 
-type event struct {
+type scheduledEvent struct {
 	at  time.Duration
 	run func()
 }
 
 func (q *eventQueue) add(at time.Duration, run func()) {
 	position := sort.Search(len(q.events), func(i int) bool { return q.events[i].at > at })
-	q.events = slices.Insert(q.events, position, event{at, run})
+	q.events = slices.Insert(q.events, position, scheduledEvent{at, run})
 }
 
-// popDue removes and returns the first event if its time has come by the given time.
-func (q *eventQueue) popDue(until time.Duration) (event, bool) {
+// popDue removes and returns the first event if it is due by the given time.
+func (q *eventQueue) popDue(until time.Duration) (scheduledEvent, bool) {
 	if len(q.events) == 0 || q.events[0].at > until {
-		return event{}, false
+		return scheduledEvent{}, false
 	}
 	first := q.events[0]
 	q.events = q.events[1:]
 	return first, true
 }
 
-// testGateway is a gateway around an engine: it records the engine's actions and fires its timers.
+// testGateway implements Actions for an engine: it records the engine's actions and fires its timers.
 type testGateway struct {
 	engine    *Engine
 	now       time.Duration
-	log       []string // all actions but the timers, as text
+	log       []string // all actions except timers, as text
 	forwarded []forwardedAttempt
 	rejected  []RequestID
 	failed    []RequestID
-	cancelled []RequestID // by attempt: a request may occur more than once
-	lastTimer Timer       // the one that was started last
-	queue     eventQueue  // the timers that have not fired
+	cancelled []RequestID // one entry per cancelled attempt
+	lastTimer Timer       // the timer that was started last
+	queue     eventQueue  // timers that have not fired
 }
 
 type forwardedAttempt struct {
@@ -103,7 +103,8 @@
 	return gateway
 }
 
-// startTestGateway returns a gateway with warm endpoints 1 to count, all in zone 0 but the last.
+// startTestGateway returns a gateway with the warm endpoints 1 to count. The last one is in zone 1,
+// the others in zone 0.
 func startTestGateway(cfg Config, count int) *testGateway {
 	gateway := newTestGateway(cfg, 0)
 	list := readyEndpoints(count)
@@ -112,7 +113,7 @@
 	return gateway
 }
 
-// readyEndpoints lists warm endpoints 1 to count.
+// readyEndpoints returns the warm endpoints 1 to count.
 func readyEndpoints(count int) []Endpoint {
 	var list []Endpoint
 	for id := 1; id <= count; id++ {
@@ -162,25 +163,26 @@
 	r.now = until
 }
 
-// advance fires the timers that are due within the given time from now.
-func (r *testGateway) advance(by time.Duration) { r.advanceTo(r.now + by) }
+// advance fires the timers that are due within the given duration from now.
+func (r *testGateway) advance(duration time.Duration) { r.advanceTo(r.now + duration) }
 
-// submit submits a request of the one customer that a plan has in most tests, which two gateways carry.
+// submit submits a request of the plan's only customer, whose requests are spread over two gateways.
 func (r *testGateway) submit(id RequestID, class, plan int, units float64) {
 	r.engine.Submit(r.now, Request{ID: id, Class: class, Plan: plan, Customer: CustomerID(plan + 1),
 		TimeLeft: 2 * time.Second, Units: units, SetSize: 2})
 }
 
-// submitSpread submits a request of a customer of plan 0 that is spread over so many gateways.
+// submitSpread submits a request of spreadCustomer in plan 0, whose requests are spread over the given number of
+// gateways.
 func (r *testGateway) submitSpread(id RequestID, units float64, gateways int) {
 	r.engine.Submit(r.now, Request{ID: id, Plan: 0, Customer: spreadCustomer,
 		TimeLeft: time.Second, Units: units, SetSize: gateways})
 }
 
-// spreadCustomer is the customer of submitSpread.
+// spreadCustomer is the customer whose requests submitSpread submits.
 const spreadCustomer CustomerID = 5
 
-// finish ends the latest attempt of a request after 50 ms.
+// finish ends the latest attempt of a request with a latency of 50 ms.
 func (r *testGateway) finish(id RequestID, status Status, usage float64) {
 	result := AttemptResult{Request: id, Attempt: -1, Status: status, Latency: 50 * time.Millisecond,
 		RequestDone: status == StatusOK, HasUsage: usage >= 0, Usage: usage}
@@ -193,25 +195,25 @@
 	r.engine.AttemptFinished(r.now, result)
 }
 
-// finishFirstAttempt ends the first attempt of a request that needs no further one.
+// finishFirstAttempt ends the first attempt of a request and marks the request as done.
 func (r *testGateway) finishFirstAttempt(id RequestID, endpoint EndpointID, status Status, latency time.Duration) {
 	r.engine.AttemptFinished(r.now, AttemptResult{Request: id, Endpoint: endpoint, Status: status,
 		Latency: latency, RequestDone: true})
 }
 
-// lastForwardedIs reports whether the latest attempt is one of the given request.
+// lastForwardedIs reports whether the latest attempt belongs to the given request.
 func (r *testGateway) lastForwardedIs(id RequestID) bool {
 	return len(r.forwarded) > 0 && r.lastForwarded().request == id
 }
 
 func (r *testGateway) lastForwarded() forwardedAttempt { return r.forwarded[len(r.forwarded)-1] }
 
-// endpointOfAttempt returns the endpoint of the attempt with the given place in the order of forwarding.
+// endpointOfAttempt returns the endpoint of the attempt with the given index in the order of forwarding.
 func (r *testGateway) endpointOfAttempt(attempt int) *endpoint {
 	return r.engine.endpoints[r.forwarded[attempt].endpoint]
 }
 
-// newRequest is a request of the idempotent class as the engine keeps it, for tests of single methods.
+// newRequest returns the engine's internal form of a request of the idempotent class, for tests of single methods.
 func newRequest(engine *Engine, units float64, c *customer) *request {
 	return &request{Request: Request{Units: units}, class: &engine.cfg.Classes[idempotentClass], customer: c}
 }
--- a/policy/metering_test.go
+++ b/policy/metering_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// In a customer far over its quota the reject probability goes on rising at the last reading, also in the
-// metering periods in which no answer brings one.
+// For a customer far over its quota the reject probability must keep rising by the last reading, also in metering
+// periods in which no answer carries a reading.
 func TestRejectProbabilityMovesWithoutNewReadings(t *testing.T) {
 	cfg := testConfig()
 	cfg.GatewayCount = 60
@@ -16,17 +16,17 @@
 	afterReading := c.rejectProbability
 	engine.updateCustomer(5*time.Second, c)
 	if c.rejectProbability <= afterReading || c.rejectProbability < 0.95 {
-		t.Errorf("reject probability %v after a reading of three quotas, %v five periods later",
+		t.Errorf("reject probability is %v after a reading of three times the quota, and %v five periods later",
 			afterReading, c.rejectProbability)
 	}
 	engine.recordUsage(6*time.Second, c, 0)
 	if c.rejectProbability != 0 {
-		t.Errorf("reject probability %v at no usage", c.rejectProbability)
+		t.Errorf("reject probability is %v after a reading of no usage, want 0", c.rejectProbability)
 	}
 }
 
-// A customer whose first reading is over its quota has emptied its bucket unseen, whatever the overuse of its
-// plan costs: the reject probability starts as after the periods that its burst lasts.
+// A customer whose first reading is over its quota has already emptied its bucket through other gateways, whatever
+// overuse costs in its plan. Its reject probability must start as if its burst had been used up.
 func TestFirstReadingOverQuotaEmptiesBucket(t *testing.T) {
 	for _, cost := range []float64{0.5, 1.2} {
 		cfg := testConfig()
@@ -35,14 +35,14 @@
 		c := engine.customerFor(0, &Request{Customer: spreadCustomer, Plan: costlyPlan, SetSize: 150})
 		engine.recordUsage(time.Second, c, 3)
 		if c.fleetBucket.tokens != 0 || c.rejectProbability < 0.8 {
-			t.Errorf("overuse cost %v: bucket of %v units, reject probability %v at a first reading of three quotas",
+			t.Errorf("overuse cost %v: bucket of %v units, reject probability %v after a first reading of three times the quota",
 				cost, c.fleetBucket.tokens, c.rejectProbability)
 		}
 	}
 }
 
-// In a surge that has begun since the metered period, each of the gateways gets a reading of no usage. If it
-// took itself for the only one, it would refill its own bucket with nearly the whole quota.
+// In a surge that began after the metered period, every gateway gets a reading of no usage. A gateway that then assumed
+// it was the only one to carry the customer would refill its bucket with nearly the whole quota.
 func TestZeroReadingKeepsEvenSplit(t *testing.T) {
 	const seeds = 20
 	cfg := testConfig()
@@ -61,6 +61,6 @@
 		forwarded += len(gateway.forwarded)
 	}
 	if mean := float64(forwarded) / seeds; mean < 0.2 || mean > 0.8 {
-		t.Errorf("each of 200 gateways forwarded %v requests on average at readings of no usage", mean)
+		t.Errorf("each of 200 gateways forwarded %v requests on average after readings of no usage, want 0.2 to 0.8", mean)
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// An endpoint that fails a part of its requests fast attracts more of them, and each of eighty gateways uses
-// it seldom. One failure is enough to eject it for a second, and then it is not tried with a request that
-// must not run twice.
+// An endpoint that fails some requests quickly looks fast and attracts more of them, and in a large fleet each gateway
+// seldom uses it. One failure must eject it for a second, and requests that must not run twice may not be used to try
+// it for longer.
 func TestFailureEjectsAndOnlyIdempotentRequestsAreTrials(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 4)
 	engine := gateway.engine
@@ -16,9 +16,9 @@
 	failing := gateway.endpointOfAttempt(0)
 	gateway.finish(1, StatusServerError, noUsage)
 	if !failing.ejected {
-		t.Fatal("not ejected after a failure")
+		t.Fatal("the endpoint was not ejected after a failure")
 	}
-	for _, ep := range engine.endpointList { // there is no other choice
+	for _, ep := range engine.endpointList { // leaves the failing endpoint as the only choice
 		if ep != failing {
 			ep.State = StateDraining
 		}
@@ -28,28 +28,28 @@
 		r.class = &engine.cfg.Classes[class]
 		return engine.chooseEndpoint(at, r) == failing
 	}
-	const early = minEjection - time.Millisecond
+	const beforeBackoffEnds = minEjection - time.Millisecond
 	const afterBackoff = minEjection + time.Millisecond
-	const afterAll = minEjection + maxEjection + time.Millisecond
+	const afterLongestWait = minEjection + maxEjection + time.Millisecond
 	for _, test := range []struct {
 		name  string
 		at    time.Duration
 		class int
 		want  bool
 	}{
-		{"before the end of its backoff", early, idempotentClass, false},
+		{"before the end of its backoff", beforeBackoffEnds, idempotentClass, false},
 		{"with an idempotent request after its backoff", afterBackoff, idempotentClass, true},
 		{"with a request that is not idempotent after its backoff", afterBackoff, nonIdempotentClass, false},
-		{"with a request that is not idempotent in the end", afterAll, nonIdempotentClass, true},
+		{"with a request that is not idempotent after the longest wait", afterLongestWait, nonIdempotentClass, true},
 	} {
 		if got := tried(test.at, test.class); got != test.want {
-			t.Errorf("tried %s: %v, want %v", test.name, got, test.want)
+			t.Errorf("endpoint tried %s: %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
-// An endpoint that drains rejects requests for seconds before the endpoint list says so, and a gateway with
-// little traffic goes on meeting it. It is ejected for a second, then for two.
+// A draining endpoint rejects requests for seconds before the endpoint list shows its state, and a gateway with little
+// traffic would keep choosing it. It must be ejected for one second, then for two.
 func TestRejectingEndpointIsEjectedWithBackoff(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 4)
 	engine := gateway.engine
@@ -58,16 +58,16 @@
 	ep := gateway.endpointOfAttempt(0)
 	gateway.finish(1, StatusRejected, noUsage)
 	if !ep.ejected || ep.nextTrial != gateway.now+minEjection {
-		t.Fatalf("ejected %v until %v after a rejection", ep.ejected, ep.nextTrial)
+		t.Fatalf("ejected is %v with the next trial at %v after a rejection", ep.ejected, ep.nextTrial)
 	}
 	gateway.now = ep.nextTrial
-	engine.recordFailure(gateway.now, ep, EjectedAfterFailure) // and again
+	engine.recordFailure(gateway.now, ep, EjectedAfterFailure) // a failed trial
 	if backoff := ep.nextTrial - gateway.now; backoff != 2*minEjection {
-		t.Errorf("ejected for %v after another rejection", backoff)
+		t.Errorf("the next trial is %v after another rejection", backoff)
 	}
 	gateway.submit(2, idempotentClass, unknownPlan, 1)
 	gateway.finish(2, StatusOK, noUsage)
 	if gateway.endpointOfAttempt(1) == ep {
-		t.Error("forwarded to an ejected endpoint")
+		t.Error("a request was forwarded to an ejected endpoint")
 	}
 }
