--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
+// Latencies of answers relative to the latency objective of testConfig's classes.
 const (
-	lateLatency   = 900 * time.Millisecond // over the objective of config's classes
-	timelyLatency = 50 * time.Millisecond
+	lateLatency   = 900 * time.Millisecond // above the objective
+	timelyLatency = 50 * time.Millisecond  // well below the objective
 )
 
-// Each of eighty gateways before sixty endpoints gets so few answers that a limit lowered to a share of the
-// time would take minutes to rise again, while the endpoints are idle.
+// Each of eighty gateways in front of sixty endpoints gets few answers. A concurrency limit lowered to below one unit
+// would take minutes to rise again while the endpoints are idle, so the limit has a minimum.
 func TestLateAnswersKeepMinimumLimit(t *testing.T) {
 	const gateways, endpoints = 80, 60
 	cfg := testConfig()
@@ -27,49 +28,49 @@
 	}
 	want := minUnitsPerEndpoint * endpoints / gateways
 	if math.Abs(engine.limit-want) > 1e-9 || engine.pausedUntil > gateway.now {
-		t.Fatalf("limit %v (want %v), pause of %v after late answers alone",
+		t.Fatalf("after late answers only: limit %v (want %v), pause of %v (want none)",
 			engine.limit, want, engine.pausedUntil-gateway.now)
 	}
 	gateway.submit(1, idempotentClass, unknownPlan, 1)
 	if len(gateway.forwarded) != 1 {
-		t.Error("nothing is forwarded at the minimum limit")
+		t.Error("the request was not forwarded at the minimum limit")
 	}
-	for _, ep := range engine.endpointList { // endpoints that warm up have less capacity
+	for _, ep := range engine.endpointList { // endpoints that warm up have less capacity, so the minimum is lower
 		ep.StartedAt = gateway.now
 	}
 	if minLimit := engine.minLimit(gateway.now); minLimit >= want {
-		t.Errorf("minimum limit %v with endpoints that warm up", minLimit)
+		t.Errorf("minimum limit is %v while all endpoints warm up, want less than with warm ones", minLimit)
 	}
 }
 
-// Late answers lower both limits, so that requests queue at the gateway, and not at endpoints that would go
-// on working on requests that are too late.
+// Late answers must lower the endpoint's limit and the limit on all endpoints, so that requests queue at the gateway
+// instead of at endpoints, which would keep working on requests that are already too late.
 func TestLateAnswersLowerLimits(t *testing.T) {
 	cfg := testConfig()
-	cfg.GatewayCount = 100 // they share one endpoint, so a gateway's minimum is a share of the time
+	cfg.GatewayCount = 100 // they share one endpoint, so each gateway's minimum limit is below one unit
 	gateway := startTestGateway(cfg, 1)
 	engine, ep := gateway.engine, gateway.engine.endpoints[1]
-	lost := newRequest(engine, 1, nil)
+	unanswered := newRequest(engine, 1, nil)
 	for range 100 {
 		gateway.now += time.Second
 		engine.adjustLimits(gateway.now, ep, newRequest(engine, 1, nil), true, lateLatency)
 	}
 	minLimit := max(minFleetLimit, minUnitsPerEndpoint/100)
 	if ep.limit != 1 || math.Abs(engine.limit-minLimit) > 1e-9 || engine.pausedUntil <= gateway.now {
-		t.Fatalf("endpoint limit %v, limit on all %v, pause of %v after late answers",
+		t.Fatalf("after late answers: endpoint limit %v, limit on all endpoints %v, pause of %v",
 			ep.limit, engine.limit, engine.pausedUntil-gateway.now)
 	}
 	gateway.submit(100, idempotentClass, unknownPlan, 1)
 	if len(gateway.forwarded) != 0 {
-		t.Error("forwarded during a pause")
+		t.Error("a request was forwarded during a pause")
 	}
-	// An attempt lowers the limit once, however often it is looked at: one without an answer is looked at often.
+	// An attempt without an answer is checked repeatedly, but must lower the limit on all endpoints only once.
 	engine.limit = 9
 	for range 10 {
-		engine.adjustLimits(gateway.now, ep, lost, true, lateLatency)
+		engine.adjustLimits(gateway.now, ep, unanswered, true, lateLatency)
 	}
 	if engine.limit != 9-limitDecrease {
-		t.Errorf("limit on all endpoints %v after one lost answer", engine.limit)
+		t.Errorf("limit on all endpoints is %v after one unanswered attempt, want one decrease from 9", engine.limit)
 	}
 	engine.pausedUntil, engine.limit = 0, 9
 	for id := RequestID(1); id <= 5; id++ {
@@ -80,17 +81,17 @@
 	}
 	ep.inFlightUnits = 1
 	for range 50 {
-		engine.adjustLimits(gateway.now, ep, lost, false, timelyLatency)
+		engine.adjustLimits(gateway.now, ep, unanswered, false, timelyLatency)
 	}
 	if ep.limit <= 1 || ep.limit > 4.2 {
-		t.Errorf("endpoint limit %v: it rises only while it is used", ep.limit)
+		t.Errorf("endpoint limit is %v; it must rise, but only while it is used", ep.limit)
 	}
 }
 
-// Where answers get lost, limits that took them for late ones fell though the fleet was well, and nine
-// requests in ten were rejected for many seconds. An attempt that was overtaken by a later one at the same
-// endpoint is moved and lowers no limit.
-func TestLostAnswersLowerNoLimit(t *testing.T) {
+// Lost answers that counted as late lowered the limits of a healthy fleet, which then rejected nine of ten requests for
+// many seconds. An attempt without an answer must be cancelled and retried elsewhere, without lowering a limit, if a
+// later attempt at the same endpoint has been answered.
+func TestLostAnswersDoNotLowerLimits(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 3)
 	engine := gateway.engine
 	engine.latencyPerUnit = 0.025
@@ -99,42 +100,43 @@
 	limitBefore := ep.limit
 	gateway.advanceTo(time.Millisecond)
 	gateway.submit(2, idempotentClass, costlyPlan, 1)
-	for id := RequestID(3); gateway.lastForwarded().endpoint != ep.ID; id++ { // until one goes to the same endpoint
+	for id := RequestID(3); gateway.lastForwarded().endpoint != ep.ID; id++ { // until one is sent to the same endpoint
 		gateway.submit(id, idempotentClass, costlyPlan, 1)
 		if !gateway.lastForwardedIs(id) {
 			t.Fatalf("request %d was not forwarded: %v", id, gateway.log)
 		}
 	}
-	later := gateway.lastForwarded().request
+	answered := gateway.lastForwarded().request
 	gateway.advanceTo(20 * time.Millisecond)
-	gateway.finish(later, StatusOK, noUsage)
+	gateway.finish(answered, StatusOK, noUsage)
 	gateway.advanceTo(250 * time.Millisecond)
 	if r := engine.requests[1]; r == nil || !r.overtaken() || !slices.Contains(gateway.cancelled, 1) {
-		t.Fatalf("not moved: %v", gateway.log)
+		t.Fatalf("the attempt with the lost answer was not cancelled: %v", gateway.log)
 	}
 	if ep.limit < limitBefore || ep.ejected {
 		t.Errorf("the endpoint's limit went from %v to %v, ejected: %v", limitBefore, ep.limit, ep.ejected)
 	}
 }
 
-// Under overload, a request that cannot be answered in time costs no capacity.
+// Under overload, a request that is expected to miss its objective must be rejected instead of using capacity.
 func TestRequestThatWouldBeLateIsRejectedUnderOverload(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 3)
 	engine := gateway.engine
 	engine.latencyPerUnit, engine.overloaded, engine.pressure = 0.6, true, 1
 	gateway.submit(1, idempotentClass, unknownPlan, 1)
 	if len(gateway.rejected) != 1 || len(gateway.forwarded) != 0 {
-		t.Errorf("%v", gateway.log)
+		t.Errorf("a request that would be late was not rejected: %v", gateway.log)
 	}
 	engine.latencyPerUnit = 0.1
 	gateway.submit(2, idempotentClass, unknownPlan, 1)
 	if len(gateway.forwarded) != 1 {
-		t.Errorf("%v", gateway.log)
+		t.Errorf("a request that would be in time was not forwarded: %v", gateway.log)
 	}
 }
 
-// The limits keep latencies low, so latencies alone no longer show an overload.
-func TestLackOfCapacityIsOverload(t *testing.T) {
+// Concurrency limits keep latencies low even under overload, so that latencies alone do not show it. Requests that find
+// no endpoint with capacity must count as a sign of overload too.
+func TestLackOfCapacityCountsAsOverload(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 1)
 	engine, ep := gateway.engine, gateway.engine.endpoints[1]
 	ep.limit, ep.inFlight, ep.inFlightUnits = 1, 1, 1
@@ -143,30 +145,30 @@
 	}
 	gateway.advanceTo(400 * time.Millisecond)
 	if !engine.overloaded {
-		t.Errorf("pressure %v after no request found capacity", engine.pressure)
+		t.Errorf("no overload is detected at a pressure of %v though no request found capacity", engine.pressure)
 	}
 }
 
-// Under overload within the quotas, requests of low priority leave the last of an endpoint's capacity to
-// those of high priority.
+// If customers within their quotas overload the fleet, requests of low priority must leave a part of each endpoint's
+// limit to requests of high priority, yet must not starve at an idle endpoint.
 func TestLowPriorityLeavesReserveUnderOverload(t *testing.T) {
 	cfg := testConfig()
-	cfg.Plans[softPlan].PriceFactor = 0.2 // a fifth of what costlyPlan earns
+	cfg.Plans[softPlan].PriceFactor = 0.2 // a fifth of costlyPlan's
 	gateway := startTestGateway(cfg, 1)
 	engine, ep := gateway.engine, gateway.engine.endpoints[1]
 	engine.overloaded, engine.pressure = true, 1
 	ep.limit, ep.inFlight, ep.inFlightUnits, ep.lastResponse = 4, 2, 2, 0
 	gateway.submit(1, idempotentClass, softPlan, 1)
 	if len(gateway.forwarded) != 0 {
-		t.Fatalf("a request of low priority took the reserve: %v", gateway.log)
+		t.Fatalf("a request of low priority used the capacity reserved for high priority: %v", gateway.log)
 	}
 	gateway.submit(2, idempotentClass, costlyPlan, 1)
 	if len(gateway.forwarded) != 1 {
-		t.Errorf("a request of high priority found no capacity: %v", gateway.log)
+		t.Errorf("a request of high priority was not forwarded: %v", gateway.log)
 	}
 	ep.inFlight, ep.inFlightUnits = 0, 0
 	gateway.advanceTo(100 * time.Millisecond)
 	if len(gateway.forwarded) != 2 {
-		t.Errorf("a request of low priority is starved at an idle endpoint: %v", gateway.log)
+		t.Errorf("a request of low priority was not forwarded to an idle endpoint: %v", gateway.log)
 	}
 }
--- a/policy/overuse_test.go
+++ b/policy/overuse_test.go
@@ -5,24 +5,23 @@
 	"time"
 )
 
-// Where an even split of the burst holds no request, a greedy customer of many gateways nearly always meets
-// one that knows nothing of it. Requests of unknown usage are admitted at a part of the gateways, by what
-// overuse may cost, by their size and by what overuse of their plan costs. A retry changes nothing: a
-// customer is known by its usage, and a rejection tells nothing of it.
+// A greedy customer that is spread over many gateways nearly always reaches one without a usage reading for it. Only
+// a part of the gateways may admit such a request: fewer for large requests and for plans with costly overuse. A retry
+// at the same gateway must not be admitted after a rejection, which reveals nothing about the customer's usage.
 func TestUnknownUsageIsAdmittedByRisk(t *testing.T) {
 	for _, test := range []struct {
-		gateways           int // that carry the customer
-		quota, units, cost float64
-		least, most        int // of 300 gateways, at least three standard deviations off what is expected
+		gateways                 int // number of gateways that carry the customer
+		quota, units, cost       float64
+		minAdmitted, maxAdmitted int // of 300 gateways; at least three standard deviations from the mean
 	}{
-		{150, 2, 1, 1.2, 232, 272}, // 0.42 of them admit a typical request of two units, twice that one of one unit,
-		{150, 2, 4, 1.2, 42, 84},   // and half of it one of four units,
-		{150, 10, 4, 1.2, 42, 84},  // also where readings will tell
-		{150, 2, 4, 2, 29, 69},     // half of 0.33
-		{150, 2, 4, 0.5, 112, 164}, // half of 0.92: little has to be rejected
-		{150, 2, 4, 0.3, 300, 300}, // overuse of all requests would cost no more than it may
+		{150, 2, 1, 1.2, 232, 272}, // one unit: twice the 0.42 that admit a typical request of two units
+		{150, 2, 4, 1.2, 42, 84},   // four units: half of 0.42
+		{150, 10, 4, 1.2, 42, 84},  // the same though a reading would be conclusive at this quota
+		{150, 2, 4, 2, 29, 69},     // four units and costlier overuse: half of 0.33
+		{150, 2, 4, 0.5, 112, 164}, // four units and cheaper overuse: half of 0.92
+		{150, 2, 4, 0.3, 300, 300}, // overuse by all requests would stay within the cost limit
 		{150, 2, 4, 0, 300, 300},
-		{4, 2, 4, 2, 300, 300}, // the split of the burst tells
+		{4, 2, 4, 2, 300, 300}, // the gateway's share of the burst holds the request
 	} {
 		admitted, admittedOnRetry := 0, 0
 		for index := range 300 {
@@ -41,14 +40,14 @@
 				}
 			}
 		}
-		if admitted < test.least || admitted > test.most || admittedOnRetry != 0 {
-			t.Errorf("%+v: admitted by %d gateways, and by %d more on a retry", test, admitted, admittedOnRetry)
+		if admitted < test.minAdmitted || admitted > test.maxAdmitted || admittedOnRetry != 0 {
+			t.Errorf("%+v: the request was admitted by %d gateways, and by %d more on a retry", test, admitted, admittedOnRetry)
 		}
 	}
 }
 
-// What overuse may cost holds over all plans together: beside a cheap plan that makes most of the value a
-// costly one is admitted, and beside costlier ones it gives way to those that cost less.
+// The limit on the cost of overuse applies to the sum over all plans. A plan must be admitted almost always if most of
+// the requested value is of a plan with cheap overuse, and more often than usual beside one with costlier overuse.
 func TestOveruseLimitIsSharedByAllPlans(t *testing.T) {
 	const ownPlan, otherPlan = 0, 1
 	admittedBeside := func(otherCost float64) (admitted int) {
@@ -60,7 +59,7 @@
 				{QuotaRate: 2, Burst: 10, PriceFactor: 1, OverQuotaCost: otherCost},
 			}
 			gateway := startTestGateway(cfg, 3)
-			for id := RequestID(2); id <= 20; id++ { // the other plan requests nineteen times as much
+			for id := RequestID(2); id <= 20; id++ { // nineteen requests of the other plan
 				gateway.engine.Submit(gateway.now, Request{ID: id, Plan: otherPlan, Customer: CustomerID(id),
 					TimeLeft: 2 * time.Second, Units: 2, SetSize: 150})
 				if gateway.lastForwardedIs(id) {
@@ -78,14 +77,14 @@
 	}
 	besideSame, besideCheap, besideCostly := admittedBeside(1), admittedBeside(0.1), admittedBeside(3)
 	if besideSame < 100 || besideSame > 160 || besideCheap < 295 || besideCostly < besideSame+60 {
-		t.Errorf("of 300 gateways %d admit a request of overuse cost 1 beside a plan of the same cost, "+
+		t.Errorf("of 300 gateways, %d admit a request of overuse cost 1 beside a plan of the same cost, "+
 			"%d beside a cheap plan, %d beside a costly one", besideSame, besideCheap, besideCostly)
 	}
 }
 
-// No setting tells how often clients retry at other gateways, and how much is requested over quota. Readings
-// do: where they show that overuse costs more than it may, requests of unknown usage are admitted less
-// often. A single reading counts little, what readings tell decays, and nothing raises admission.
+// How often clients retry at other gateways and how much is requested over quota is not configured, but shows in
+// readings. If readings show that overuse exceeds its cost limit, fewer requests of unknown usage may be admitted. A
+// single reading has little weight, old readings decay, and the correction never exceeds 1.
 func TestCostlyReadingsLowerAdmissionOfUnknownUsage(t *testing.T) {
 	correctionAfter := func(usage, cost float64, readings int, wait time.Duration) float64 {
 		cfg := testConfig()
@@ -104,23 +103,24 @@
 		return engine.overuse.correction()
 	}
 	if got := correctionAfter(0.5, 1, 40, 0); got != 1 {
-		t.Errorf("correction %v though all usage is within quota", got)
+		t.Errorf("correction is %v though all usage is within quota, want 1", got)
 	}
 	if got := correctionAfter(4, 0.02, 40, 0); got != 1 {
-		t.Errorf("correction %v though overuse costs next to nothing", got)
+		t.Errorf("correction is %v though overuse costs next to nothing, want 1", got)
 	}
 	one, many := correctionAfter(4, 1, 1, 0), correctionAfter(4, 1, 40, 0)
 	decayed := correctionAfter(4, 1, 40, 6*overuseDecay)
 	if one < 0.6 || one >= 1 || many > 0.3 || many <= 0 || decayed < 0.8 {
-		t.Errorf("correction %v after one reading of four quotas, %v after forty, %v once these have decayed",
+		t.Errorf("correction is %v after one reading of four times the quota, %v after forty, %v once these have decayed",
 			one, many, decayed)
 	}
 	if got := correctionAfter(1.2, 1, 40, 0); got <= many || got >= 1 {
-		t.Errorf("correction %v after readings a little over quota, %v after those far over it", got, many)
+		t.Errorf("correction is %v after readings slightly over quota, and %v after readings far over it", got, many)
 	}
 }
 
-// The correction and the plan's ratio both lower how many requests of unknown usage are admitted.
+// Guards against admission decisions that ignore what readings show: the cost of overuse over all plans, and which plan
+// has the larger share of units over quota.
 func TestCostlyReadingsRejectMoreRequests(t *testing.T) {
 	admittedAfter := func(meteredCost, overQuotaShare float64) (admitted int) {
 		for seed := range uint64(200) {
@@ -139,15 +139,15 @@
 		return admitted
 	}
 	if cheap, costly := admittedAfter(0.01, 0.2), admittedAfter(0.4, 0.2); cheap < 70 || costly > cheap/2 {
-		t.Errorf("%d of 200 admitted where overuse costs little, %d where it costs four times what it may", cheap, costly)
+		t.Errorf("%d of 200 requests admitted if overuse costs little, %d if it costs four times its limit", cheap, costly)
 	}
 	if within, over := admittedAfter(0.01, 0.1), admittedAfter(0.01, 0.3); over > within*2/3 {
-		t.Errorf("%d of 200 admitted of the plan whose readings are less over quota, %d of the other", within, over)
+		t.Errorf("%d of 200 requests admitted of the plan with fewer units over quota, %d of the other", within, over)
 	}
 }
 
-// A plan of which readings show more units over quota than of the others is admitted less, the others more. A
-// few readings change little, and without any all plans weigh alike.
+// A plan whose readings show a larger share of units over quota than the other plans must get a higher ratio, and the
+// others a lower one. A few readings must change little, and without readings all ratios are 1.
 func TestPlanRatioFollowsReadings(t *testing.T) {
 	cfg := testConfig()
 	cfg.GatewayCount = 300
@@ -166,23 +166,23 @@
 		return overuse.planRatio(&overuse.plans[0]), overuse.planRatio(&overuse.plans[1])
 	}
 	if within, over := ratiosAfter(0); within != 1 || over != 1 {
-		t.Errorf("ratios %v and %v before any reading", within, over)
+		t.Errorf("ratios are %v and %v before any reading, want 1", within, over)
 	}
 	if within, over := ratiosAfter(1); within < 0.8 || within >= 1 || over <= 1 || over > 1.2 {
-		t.Errorf("ratios %v and %v after one reading each", within, over)
+		t.Errorf("ratios are %v within and %v over quota after one reading each", within, over)
 	}
 	if within, over := ratiosAfter(40); within > 0.3 || within <= 0 || over < 1.7 || over > 2 {
-		t.Errorf("ratios %v and %v after forty more", within, over)
+		t.Errorf("ratios are %v within and %v over quota after forty more readings each", within, over)
 	}
-	unknown, unread := overuse.planRatio(&overuse.plans[2]), overuse.planRatio(&overuseStats{})
-	if unknown != 1 || unread != 1 {
-		t.Errorf("ratios %v and %v of plans without readings", unknown, unread)
+	ofUnknownPlan, withoutReadings := overuse.planRatio(&overuse.plans[2]), overuse.planRatio(&overuseStats{})
+	if ofUnknownPlan != 1 || withoutReadings != 1 {
+		t.Errorf("ratios of plans without readings are %v and %v, want 1", ofUnknownPlan, withoutReadings)
 	}
 }
 
-// Without a meter, a customer that was admitted once used to be rejected for minutes, also where its overuse costs
-// little: the even split is then granted more than once. Where overuse is costly it is not.
-func TestCheapOveruseLocksNoCustomerOut(t *testing.T) {
+// Without a meter, a customer that had been admitted once was rejected for minutes, even if its overuse cost little.
+// Each gateway must therefore grant more than an even split of the quota if overuse is cheap, but not if it is costly.
+func TestCheapOveruseDoesNotBlockCustomer(t *testing.T) {
 	forwardedAt := func(cost float64) int {
 		cfg := testConfig()
 		cfg.GatewayCount, cfg.MeterPeriod, cfg.Seed = 300, 0, 2
@@ -198,6 +198,6 @@
 		return len(gateway.forwarded)
 	}
 	if cheap, costly := forwardedAt(0.2), forwardedAt(1.5); cheap < 9 || costly > 3 {
-		t.Errorf("%d of 10 requests forwarded where overuse costs little, %d where it is costly", cheap, costly)
+		t.Errorf("%d of 10 requests forwarded if overuse is cheap, %d if it is costly", cheap, costly)
 	}
 }
--- a/policy/pacing_test.go
+++ b/policy/pacing_test.go
@@ -5,7 +5,9 @@
 	"testing"
 )
 
-func TestHoldSecondsFormula(t *testing.T) {
+// Checks the hold time against the paper's formula: units over the rate available to the customer, less units over the
+// peak usage of all customers, and never below zero.
+func TestHoldTimeFollowsAvailableRate(t *testing.T) {
 	engine := startTestGateway(testConfig(), 3).engine
 	manager := &engine.manager
 	c := &customer{plan: &Plan{QuotaRate: 10}, avgUsage: 4}
@@ -15,22 +17,22 @@
 		avgUsage, totalUsage float64
 		availableRate        float64
 	}{
-		{true, 4, 20, 16},  // twice the quota less the usage, for a customer under its quota
-		{true, 12, 20, 10}, // else the quota
-		{false, 4, 20, 24}, // total quota less the usage of the others, while quota is left
-		{false, 4, 50, 10}, // else the quota
+		{true, 4, 20, 16},  // customer under its quota: twice the quota less its usage
+		{true, 12, 20, 10}, // customer over its quota, another one under it: its quota
+		{false, 4, 20, 24}, // no customer under its quota, total quota not used up: total quota less the usage of the others
+		{false, 4, 50, 10}, // no customer under its quota, total quota used up: its quota
 	} {
 		manager.someUnderQuota, manager.totalUsage = test.someUnderQuota, test.totalUsage
 		c.avgUsage = test.avgUsage
 		if got := manager.availableRate(c); got != test.availableRate {
-			t.Errorf("%+v: available rate %v", test, got)
+			t.Errorf("%+v: available rate is %v", test, got)
 		}
 		if got, want := engine.holdSeconds(c, 2), (1/test.availableRate-1/100.0)*2; math.Abs(got-want) > 1e-12 {
-			t.Errorf("%+v: hold of %v s, want %v s", test, got, want)
+			t.Errorf("%+v: hold time is %v s, want %v s", test, got, want)
 		}
 	}
 	manager.peakUsage = 5
 	if got := engine.holdSeconds(c, 2); got != 0 {
-		t.Errorf("hold of %v s, want the floor of 0", got)
+		t.Errorf("hold time is %v s where the formula is negative, want 0", got)
 	}
 }
--- a/policy/reason_test.go
+++ b/policy/reason_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Each reason has a name of its own.
-func TestReasonsHaveNames(t *testing.T) {
+// Guards against a reason without a name in logs and metrics, or with the name of another one.
+func TestReasonNamesAreUnique(t *testing.T) {
 	seen := map[string]bool{}
 	for reason := range reasonCount {
 		if name := reason.String(); name == "" || seen[name] {
-			t.Errorf("reason %d is called %q", reason, name)
+			t.Errorf("reason %d has the empty or duplicate name %q", reason, name)
 		}
 		seen[reason.String()] = true
 	}
 }
 
-// What the engine refuses, retries and ejects has its reason.
+// Each refusal, retry and ejection must be counted once under its own reason.
 func TestReasonsAreCounted(t *testing.T) {
 	count := func(gateway *testGateway, want Reason) uint64 {
 		for _, counted := range gateway.engine.ReasonCounts() {
@@ -67,7 +67,7 @@
 		gateway := startTestGateway(testConfig(), 4)
 		test.run(gateway)
 		if got := count(gateway, test.want); got != 1 {
-			t.Errorf("%v counted %d times: %v", test.want, got, gateway.log)
+			t.Errorf("reason %v was counted %d times, want once: %v", test.want, got, gateway.log)
 		}
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// A request that may have been executed may be retried only if its class is idempotent, or by its idempotency key
+// within the key's scope.
 func TestRetryDependsOnIdempotency(t *testing.T) {
 	const otherZoneEndpoint = 3
 	for _, test := range []struct {
@@ -23,28 +25,31 @@
 		first := gateway.forwarded[0].endpoint
 		gateway.finish(1, test.status, noUsage)
 		if retried := len(gateway.forwarded) == 2; retried != test.retried {
-			t.Errorf("%+v: %v", test, gateway.log)
+			t.Errorf("%+v: wrong retry decision: %v", test, gateway.log)
 		}
 		if !test.retried && len(gateway.failed) != 1 {
-			t.Errorf("%+v: not failed: %v", test, gateway.log)
+			t.Errorf("%+v: a request that may not be retried did not fail: %v", test, gateway.log)
 		}
 		if test.class == keyedClass &&
 			(first == otherZoneEndpoint) != (gateway.forwarded[1].endpoint == otherZoneEndpoint) {
-			t.Errorf("retried in a zone that does not know the key: %v", gateway.log)
+			t.Errorf("the request was retried in a zone that does not know its key: %v", gateway.log)
 		}
 	}
 }
 
+// After its idempotency key has expired, a request could be executed twice, so it must fail instead of being retried.
 func TestNoRetryAfterKeyHasExpired(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 3)
 	gateway.submit(1, keyedClass, costlyPlan, 1)
 	gateway.now = 1100 * time.Millisecond
 	gateway.finish(1, StatusReset, noUsage)
 	if len(gateway.forwarded) != 1 || len(gateway.failed) != 1 {
-		t.Errorf("%v", gateway.log)
+		t.Errorf("want a failure without a retry: %v", gateway.log)
 	}
 }
 
+// An attempt without an answer must be cancelled and retried at another endpoint, but never one whose request is not
+// idempotent.
 func TestSilentAttemptIsRetriedElsewhere(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 3)
 	engine := gateway.engine
@@ -53,36 +58,37 @@
 	engine.latencyPerUnit = 0.05
 	gateway.advanceTo(400 * time.Millisecond)
 	if len(gateway.cancelled) != 1 {
-		t.Fatalf("not cancelled though without an answer: %v", gateway.log)
+		t.Fatalf("the unanswered attempt was not cancelled: %v", gateway.log)
 	}
 	gateway.finish(1, StatusCancelled, noUsage)
 	if len(gateway.forwarded) != 2 || gateway.forwarded[1].endpoint == first {
-		t.Errorf("%v", gateway.log)
+		t.Errorf("the request was not retried at another endpoint: %v", gateway.log)
 	}
-	gateway.submit(2, nonIdempotentClass, costlyPlan, 1) // never moved
+	gateway.submit(2, nonIdempotentClass, costlyPlan, 1) // must not be retried elsewhere
 	gateway.advanceTo(1900 * time.Millisecond)
-	if len(gateway.cancelled) != 2 || engine.requests[2] == nil { // only request 1 was moved again
-		t.Errorf("%v", gateway.log)
+	if len(gateway.cancelled) != 2 || engine.requests[2] == nil { // both cancellations are of request 1
+		t.Errorf("want two cancellations, none of the non-idempotent request: %v", gateway.log)
 	}
 }
 
-// Where every endpoint is slow, and shared by so many gateways that each seldom gets an answer of one, moving
-// attempts would only multiply the work.
-func TestSlowAttemptIsNotMoved(t *testing.T) {
+// If all endpoints are slow and each gateway seldom gets an answer from one, retrying attempts elsewhere would only
+// multiply the work. An attempt must not be cancelled before it takes eight times the usual latency.
+func TestAttemptIsNotMovedWhileAllEndpointsAreSlow(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 3)
 	gateway.engine.latencyPerUnit = 0.15
 	gateway.submit(1, idempotentClass, unknownPlan, 1)
 	gateway.advanceTo(1100 * time.Millisecond)
 	if len(gateway.cancelled) != 0 {
-		t.Fatalf("moved while the usual latency is 150 ms: %v", gateway.log)
+		t.Fatalf("the attempt was cancelled before eight times the usual latency of 150 ms: %v", gateway.log)
 	}
 	gateway.advanceTo(1300 * time.Millisecond)
 	if len(gateway.cancelled) != 1 {
-		t.Errorf("not moved at eight times the usual latency: %v", gateway.log)
+		t.Errorf("the attempt was not cancelled after eight times the usual latency: %v", gateway.log)
 	}
 }
 
-// A streamed response may last longer than any objective. It is no sign of a slow endpoint and is never moved.
+// A streamed response may last longer than any latency objective. It must not count as a sign of a slow endpoint, and
+// its attempt must not be cancelled.
 func TestStreamedResponseIsNotMoved(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 2)
 	gateway.submit(1, idempotentClass, unknownPlan, 1)
@@ -91,12 +97,13 @@
 	limitBefore := ep.limit
 	gateway.advanceTo(1900 * time.Millisecond)
 	if len(gateway.cancelled) != 0 || ep.limit != limitBefore {
-		t.Errorf("limit %v, before %v: %v", ep.limit, limitBefore, gateway.log)
+		t.Errorf("limit is %v, and was %v before the stream; want no change and no cancellation: %v",
+			ep.limit, limitBefore, gateway.log)
 	}
 }
 
-// A failure of the gateway's own machine costs no endpoint anything, nor the retry budget: the request waits for a
-// moment and is tried again, also one that must not run twice.
+// A failure of the gateway's own machine must not eject an endpoint or use up the retry budget. The request, even a
+// non-idempotent one, must be retried after a short delay.
 func TestLocalFailureIsRetriedWithoutEjection(t *testing.T) {
 	for _, class := range []int{idempotentClass, keyedClass, nonIdempotentClass} {
 		gateway := startTestGateway(testConfig(), 4)
@@ -108,27 +115,27 @@
 			before := len(gateway.forwarded)
 			gateway.finish(1, StatusLocalFailure, noUsage)
 			if len(gateway.forwarded) != before {
-				t.Errorf("class %d: tried again at once", class)
+				t.Errorf("class %d: the request was retried without a delay", class)
 			}
 			gateway.advance(engine.cfg.Classes[class].LatencyObjective / queueRetries)
 		}
 		if len(gateway.forwarded) != failures+1 {
-			t.Errorf("class %d: %v", class, gateway.log)
+			t.Errorf("class %d: want a retry after each failure: %v", class, gateway.log)
 		}
 		for _, ep := range engine.endpointList {
 			if ep.ejected {
-				t.Errorf("class %d: endpoint %d is ejected", class, ep.ID)
+				t.Errorf("class %d: endpoint %d was ejected", class, ep.ID)
 			}
 		}
 		gateway.finish(1, StatusOK, noUsage)
 		if engine.inFlight != 0 || len(engine.requests) != 0 {
-			t.Errorf("class %d: %d attempts and %d requests are left", class, engine.inFlight, len(engine.requests))
+			t.Errorf("class %d: %d attempts and %d requests are left, want none", class, engine.inFlight, len(engine.requests))
 		}
 	}
 }
 
-// A failure that lasts ends in a rejection in time, which promises that nothing has run.
-func TestLocalFailureThatLastsIsRejectedInTime(t *testing.T) {
+// If local failures persist, the request must be rejected before its deadline, since no attempt was executed.
+func TestPersistentLocalFailureIsRejectedBeforeDeadline(t *testing.T) {
 	cfg := testConfig()
 	cfg.MaxAttempts = 0
 	gateway := startTestGateway(cfg, 2)
@@ -141,26 +148,27 @@
 		gateway.advance(time.Millisecond)
 	}
 	if len(gateway.rejected) != 1 || gateway.now >= deadline {
-		t.Errorf("%v rejected, %v failed after %v of %v", gateway.rejected, gateway.failed, gateway.now, deadline)
+		t.Errorf("requests rejected: %v, failed: %v, at %v; want a rejection before the deadline %v",
+			gateway.rejected, gateway.failed, gateway.now, deadline)
 	}
 }
 
-// An endpoint that alone cannot be reached from this machine is avoided.
-func TestEndpointThatAloneFailsLocallyIsAvoided(t *testing.T) {
+// An endpoint that this machine cannot reach, while it reaches others, must be avoided.
+func TestLocallyUnreachableEndpointIsAvoided(t *testing.T) {
 	const requests = 40
 	gateway := startTestGateway(testConfig(), 2)
-	unreachable, met := EndpointID(1), 0
+	unreachable, localFailures := EndpointID(1), 0
 	for id := RequestID(1); id <= requests; id++ {
 		gateway.submit(id, idempotentClass, unknownPlan, 1)
-		for met <= requests && gateway.lastForwarded().endpoint == unreachable {
-			met++
+		for localFailures <= requests && gateway.lastForwarded().endpoint == unreachable {
+			localFailures++
 			gateway.finish(id, StatusLocalFailure, noUsage)
 			gateway.advance(gateway.engine.cfg.Classes[idempotentClass].LatencyObjective / queueRetries)
 		}
 		gateway.finish(id, StatusOK, noUsage)
 		gateway.advance(10 * time.Millisecond)
 	}
-	if met > requests/4 {
-		t.Errorf("tried %d times for %d requests", met, requests)
+	if localFailures > requests/4 {
+		t.Errorf("the unreachable endpoint was tried %d times for %d requests", localFailures, requests)
 	}
 }
