--- a/policy/first_start_test.go
+++ b/policy/first_start_test.go
@@ -8,54 +8,57 @@
 	"time"
 )
 
+// The fleet and the time step of the cold-start tests.
 const (
-	firstStartEndpoints = 12
-	firstStartTick      = 10 * time.Millisecond
-	firstStartAt        = time.Hour // when all endpoints and all gateways start
+	coldStartEndpoints = 12
+	coldStartTick      = 10 * time.Millisecond
+	coldStartAt        = time.Hour // start time of all endpoints
 )
 
-// firstStartFleet is a fleet of gateways that start together with all of their endpoints, so that none has a history to
-// tell what an endpoint bears. Time passes in ticks.
-type firstStartFleet struct {
-	cfg       Config
-	rng       *rand.Rand
-	gateways  []*testGateway
-	seen      []int // attempts of each gateway that have been recorded
-	nextID    RequestID
-	inFlight  []fleetAttempt
-	forwarded map[EndpointID][]time.Duration
-	submitted int
-	attempts  int
-	early     int // attempts in the first two seconds
+// coldStartFleet emulates gateways that get their endpoint list when all endpoints have just started, so that no
+// gateway can derive an endpoint's capacity from earlier traffic. Time advances in ticks.
+type coldStartFleet struct {
+	cfg              Config
+	rng              *rand.Rand
+	gateways         []*testGateway
+	recordedAttempts []int // number of attempts already recorded, by gateway
+	nextID           RequestID
+	inFlight         []fleetAttempt
+	forwarded        map[EndpointID][]time.Duration
+	submitted        int
+	attempts         int
+	earlyAttempts    int // number of attempts in the first two seconds
 }
 
-// newFirstStartFleet starts a fleet with the rule on slow start that the operators' settings give.
-func newFirstStartFleet(gateways int, quietBefore time.Duration) *firstStartFleet {
+// newColdStartFleet starts gateways with the operators' slow-start settings. The gateways start earlier than
+// the endpoints by quietBefore and get no requests in that time.
+func newColdStartFleet(gateways int, quietBefore time.Duration) *coldStartFleet {
 	cfg := testConfig()
 	cfg.GatewayCount, cfg.Classes[idempotentClass].LatencyObjective = gateways, 2*time.Second
 	cfg.WarmUpInitialCapacity, cfg.WarmUpDuration = 0.16, 16*time.Second
 	cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 2.5, 3*time.Second
-	fleet := &firstStartFleet{cfg: cfg, rng: rand.New(rand.NewPCG(uint64(gateways), 5)),
-		seen: make([]int, gateways), forwarded: map[EndpointID][]time.Duration{}}
-	list := warmingList(1, firstStartEndpoints, firstStartAt)
+	fleet := &coldStartFleet{cfg: cfg, rng: rand.New(rand.NewPCG(uint64(gateways), 5)),
+		recordedAttempts: make([]int, gateways), forwarded: map[EndpointID][]time.Duration{}}
+	list := warmingList(1, coldStartEndpoints, coldStartAt)
 	for index := range gateways {
 		cfg := cfg
 		cfg.GatewayIndex, cfg.Seed = index, fleet.rng.Uint64()
-		gateway := newTestGateway(cfg, firstStartAt-quietBefore)
-		gateway.advanceTo(firstStartAt)
-		gateway.engine.UpdateEndpoints(firstStartAt, UpdateFull, list)
+		gateway := newTestGateway(cfg, coldStartAt-quietBefore)
+		gateway.advanceTo(coldStartAt)
+		gateway.engine.UpdateEndpoints(coldStartAt, UpdateFull, list)
 		fleet.gateways = append(fleet.gateways, gateway)
 	}
 	return fleet
 }
 
-// run lets requests of one unit arrive at random until the endpoints are warm.
-func (f *firstStartFleet) run(load float64) {
-	perTick := load * fleetWarmCapacity * firstStartEndpoints * firstStartTick.Seconds()
-	due := 0.0
-	for now := firstStartAt; now < firstStartAt+f.cfg.WarmUpDuration; now += firstStartTick {
+// run submits requests of one unit at random gateways until the endpoints are warm. The load is relative to the
+// capacity of the warm endpoints.
+func (f *coldStartFleet) run(load float64) {
+	requestsPerTick := load * fleetWarmCapacity * coldStartEndpoints * coldStartTick.Seconds()
+	dueRequests := 0.0
+	for now := coldStartAt; now < coldStartAt+f.cfg.WarmUpDuration; now += coldStartTick {
 		f.finishAttempts(now)
-		for due += perTick; due >= 1; due-- {
+		for dueRequests += requestsPerTick; dueRequests >= 1; dueRequests-- {
 			f.submit(now)
 		}
 		for index, gateway := range f.gateways {
@@ -65,7 +68,7 @@
 	}
 }
 
-func (f *firstStartFleet) submit(now time.Duration) {
+func (f *coldStartFleet) submit(now time.Duration) {
 	gateway := f.gateways[f.rng.IntN(len(f.gateways))]
 	gateway.advanceTo(now)
 	f.nextID++
@@ -74,21 +77,21 @@
 		TimeLeft: 3 * time.Second, Units: 1, SetSize: 1})
 }
 
-// recordAttempts notes the attempts that a gateway has made since the last tick.
-func (f *firstStartFleet) recordAttempts(index int, now time.Duration) {
+// recordAttempts records the attempts that a gateway has started since the last call.
+func (f *coldStartFleet) recordAttempts(index int, now time.Duration) {
 	gateway := f.gateways[index]
-	for _, attempt := range gateway.forwarded[f.seen[index]:] {
+	for _, attempt := range gateway.forwarded[f.recordedAttempts[index]:] {
 		f.inFlight = append(f.inFlight, fleetAttempt{now + fleetLatency, gateway, attempt.request, attempt.endpoint})
 		f.forwarded[attempt.endpoint] = append(f.forwarded[attempt.endpoint], now)
 		f.attempts++
-		if now < firstStartAt+2*time.Second {
-			f.early++
+		if now < coldStartAt+2*time.Second {
+			f.earlyAttempts++
 		}
 	}
-	f.seen[index] = len(gateway.forwarded)
+	f.recordedAttempts[index] = len(gateway.forwarded)
 }
 
-func (f *firstStartFleet) finishAttempts(now time.Duration) {
+func (f *coldStartFleet) finishAttempts(now time.Duration) {
 	for len(f.inFlight) > 0 && f.inFlight[0].endsAt <= now {
 		attempt := f.inFlight[0]
 		f.inFlight = f.inFlight[1:]
@@ -97,30 +100,31 @@
 	}
 }
 
-// budget is the operators' N: what the settings allow an endpoint in the window that ends at the given time.
-func (f *firstStartFleet) budget(at time.Duration) float64 {
+// budget returns the units that the slow-start settings allow an endpoint in the window that ends at the given time.
+func (f *coldStartFleet) budget(at time.Duration) float64 {
 	initial := f.cfg.WarmUpInitialCapacity
-	warmth := initial + (1-initial)*(at-firstStartAt).Seconds()/f.cfg.WarmUpDuration.Seconds()
-	return f.cfg.WarmUpOverloadFactor * fleetWarmCapacity * warmth * f.cfg.WarmUpOverloadWindow.Seconds()
+	capacityShare := initial + (1-initial)*(at-coldStartAt).Seconds()/f.cfg.WarmUpDuration.Seconds()
+	return f.cfg.WarmUpOverloadFactor * fleetWarmCapacity * capacityShare * f.cfg.WarmUpOverloadWindow.Seconds()
 }
 
-// worstExcess looks at each window that ends with an attempt, for what all gateways have forwarded to an endpoint. It
-// is over 1 where that is past the operators' bound.
-func (f *firstStartFleet) worstExcess() float64 {
-	worst := 0.0
+// worstExcess returns the highest ratio of the attempts that all gateways forwarded to one endpoint within a window to
+// the slow-start bound. It examines each window that ends with an attempt.
+func (f *coldStartFleet) worstExcess() float64 {
+	worstRatio := 0.0
 	for _, times := range f.forwarded {
 		first := 0
 		for i, at := range times {
 			for times[first] <= at-f.cfg.WarmUpOverloadWindow {
 				first++
 			}
-			worst = max(worst, float64(i-first+1)/slowStartBound(f.budget(at)))
+			worstRatio = max(worstRatio, float64(i-first+1)/slowStartBound(f.budget(at)))
 		}
 	}
-	return worst
+	return worstRatio
 }
 
-// slowStartBound is the operators' bound on the calls of a window, of which the settings allow n.
+// slowStartBound returns the most attempts in a window that the operators accept for a budget of n. The margin beyond
+// the budget covers random variation of the arrivals.
 func slowStartBound(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -128,26 +132,27 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// Where everything starts at once no gateway has forwarded anything yet, and a share of nothing would starve the fleet
-// until the endpoints are warm. It serves from the start, also after a quiet time of any length, and the budget of each
-// endpoint holds for the sum over all gateways.
-func TestFirstStartOfAFleet(t *testing.T) {
+// Guards against starvation when all endpoints start at once: a warm-up budget that is a share of the forwarded rate is
+// zero while nothing has been forwarded. The fleet must serve at once, also after a quiet time, and all gateways
+// together must keep within the slow-start bound of each endpoint.
+func TestColdStartedFleetServesWithinWarmUpBudget(t *testing.T) {
 	for _, gateways := range []int{1, 3, 30, 300, 900} {
 		for _, quietBefore := range []time.Duration{0, time.Minute} {
 			for _, load := range []float64{0.1, 0.6, 1, 1.5, 2.5} {
 				t.Run(fmt.Sprintf("%d gateways, load %v, quiet for %v", gateways, load, quietBefore), func(t *testing.T) {
 					t.Parallel()
-					fleet := newFirstStartFleet(gateways, quietBefore)
+					fleet := newColdStartFleet(gateways, quietBefore)
 					fleet.run(load)
 					excess := fleet.worstExcess()
 					served := float64(fleet.attempts) / float64(fleet.submitted)
 					if excess > 1 {
-						t.Errorf("%.2f of the operators' bound", excess)
+						t.Errorf("the worst window has %.2f times the attempts of the slow-start bound", excess)
 					}
-					if served < 0.2 || fleet.early == 0 {
-						t.Errorf("%.2f of the requests were forwarded, %d in the first two seconds", served, fleet.early)
+					if served < 0.2 || fleet.earlyAttempts == 0 {
+						t.Errorf("share of requests forwarded is %.2f, with %d in the first two seconds", served, fleet.earlyAttempts)
 					}
-					t.Logf("%.2f of the bound; %.2f forwarded, %d early", excess, served, fleet.early)
+					t.Logf("%.2f of the slow-start bound; share forwarded %.2f, %d early attempts",
+						excess, served, fleet.earlyAttempts)
 				})
 			}
 		}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// An endpoint that warms up must get some of the traffic, but not more than the overload factor times its capacity.
 func TestWarmingEndpointGetsItsShareOfCapacity(t *testing.T) {
 	const warmingEndpoint = 2
 	gateway := startTestGateway(testConfig(), 3)
@@ -13,7 +14,7 @@
 	gateway.now = 100 * time.Second
 	engine.UpdateEndpoints(gateway.now, UpdateDelta,
 		[]Endpoint{{ID: warmingEndpoint, Weight: 1, State: StateReady, StartedAt: gateway.now}})
-	for id := RequestID(1); id <= 100; id++ { // one second of 100 units
+	for id := RequestID(1); id <= 100; id++ { // 100 requests of one unit within a second
 		gateway.submit(id, idempotentClass, unknownPlan, 1)
 		gateway.now += 10 * time.Millisecond
 	}
@@ -23,15 +24,15 @@
 			forwarded++
 		}
 	}
-	// A warm endpoint would get 20 units a second of the remembered 60. This one has a fifth of its capacity,
-	// and may get twice that.
+	// A warm endpoint's share of the average rate of 60 units/s is 20. This endpoint has a fifth of its capacity and
+	// tolerates twice that.
 	if forwarded > 12 || forwarded == 0 {
-		t.Errorf("%d of 100 requests were forwarded to the endpoint that warms up", forwarded)
+		t.Errorf("%d of 100 requests were forwarded to the endpoint that warms up, want 1 to 12", forwarded)
 	}
 }
 
-// A hundred gateways are notified at once of an endpoint that warms up, and each would forward its first
-// request to it. The budget holds for the sum over all of them.
+// A hundred gateways learn at the same time of an endpoint that warms up. If each forwarded its first request to it,
+// the endpoint would be overloaded, so the warm-up budget must hold for the sum over all gateways.
 func TestWarmUpBudgetIsSharedByAllGateways(t *testing.T) {
 	const gateways = 100
 	units := 0
@@ -44,7 +45,7 @@
 		engine.UpdateEndpoints(gateway.now, UpdateFull,
 			[]Endpoint{{ID: 7, Weight: 1, State: StateReady, StartedAt: gateway.now}})
 		ep := engine.endpoints[7]
-		for range 20 { // one second, a request every 50 ms, with no other endpoint
+		for range 20 { // one second, with a request every 50 ms and no other endpoint
 			gateway.now += 50 * time.Millisecond
 			if engine.warmUpBudgetAllows(gateway.now, ep, 1) {
 				ep.warmUpBucket.tokens--
@@ -52,14 +53,14 @@
 			}
 		}
 	}
-	// 0.8 of twice 0.2 to 0.28 of the 10 units a second of all gateways: near 4.
+	// All gateways forward 10 units/s. The budget is 0.8 of twice the endpoint's capacity of 0.2 to 0.28 of that: about 4.
 	if units < 1 || units > 9 {
 		t.Errorf("%d units in the first second, the budget is about 4", units)
 	}
 }
 
-// Six in ten endpoints of a large fleet are replaced. A gateway considers few warm endpoints, but those that
-// warm up are bounded by their budget: all gateways together must give them what they have capacity for.
+// Six in ten endpoints of a large fleet are replaced. A gateway considers only few warm endpoints, but the warm-up
+// budget alone must bound the use of the others, or too little of their capacity would be used.
 func TestFleetUsesWarmingEndpoints(t *testing.T) {
 	const (
 		gateways       = 80
@@ -72,7 +73,7 @@
 		cfg := testConfig()
 		cfg.GatewayIndex, cfg.GatewayCount, cfg.Seed = index, gateways, uint64(index)
 		gateway := startTestGateway(cfg, warm)
-		for id := RequestID(1); id <= 75; id++ { // 6 units a second for 25 s
+		for id := RequestID(1); id <= 75; id++ { // 6 units/s for 25 s
 			gateway.advance(333 * time.Millisecond)
 			if id == 60 {
 				list := warmingList(firstWarmingID, warming, gateway.now)
@@ -85,8 +86,8 @@
 			gateway.finishFirstAttempt(id, endpoint, StatusOK, 200*time.Millisecond)
 		}
 	}
-	// A warm endpoint's share is 8 units a second. From 0.2 to 0.7 of its capacity in 5 s, one that warms up
-	// has capacity for 18 units at least, and may be given twice that.
+	// A warm endpoint's share is 8 units/s. An endpoint that warms up from 0.2 to 0.7 of its capacity within 5 s has
+	// capacity for at least 18 units and tolerates twice that.
 	var sum, most float64
 	for id, u := range units {
 		if id >= firstWarmingID {
@@ -94,46 +95,45 @@
 		}
 	}
 	if mean := sum / warming; mean < 9 || most > 36 {
-		t.Errorf("an endpoint that warms up was given %v units on average and %v at most; it has capacity for 18",
+		t.Errorf("endpoints that warm up got %v units on average and %v at most; each has capacity for 18",
 			mean, most)
 	}
 }
 
-// warmUpScenario is what happens to a fleet before and while some of its endpoints warm up.
+// warmUpScenario configures a run of a warmingFleet before and while some of its endpoints warm up.
 type warmUpScenario struct {
-	name          string
-	staggered     bool    // the gateways are notified one by one, within three seconds, not at once
-	someNew       bool    // a third of the gateways have just started
-	mostRestarted bool    // seven in ten gateways get no requests for a while, and restart
-	quiet         bool    // nearly no requests for three windows of the budget at first
-	largeRequests bool    // all requests have four units
-	loadBefore    float64 // requested before the start, of the capacity of the warm endpoints
-	loadAfter     float64 // and after it, or after the quiet windows
-	leastUsed     float64 // share of the budget that must be used, but a part of it by large fleets
+	name            string
+	staggered       bool    // gateways are notified one by one within three seconds, instead of at once
+	someRestarted   bool    // a third of the gateways restart just before the endpoints start
+	mostRestarted   bool    // seven in ten gateways get no requests for 19 s and then restart
+	quietAfterStart bool    // nearly no requests in the first three budget windows
+	largeRequests   bool    // each request has four units
+	loadBefore      float64 // load before the start, relative to the capacity of the warm endpoints
+	loadAfter       float64 // load after the start, or after the quiet windows
+	minBudgetUsed   float64 // minimum share of the budget to be used; large fleets need a fraction of it
 }
 
-// The operators count as one sum what all gateways forward to an endpoint that warms up: of the budget's N
-// requests in a window, twice the root of N and two more may be chance. The budget must hold where many gateways
-// could each forward a whole request, where they are notified at once or one by one, where they are
-// new and know no rate, where a quiet time saves up units for a surge, and where all requests are large. It
-// has to be used all the same.
+// The operators sum up what all gateways forward to an endpoint that warms up. For a budget of N requests in a window
+// they accept N+2*sqrt(N)+2, to allow for random variation. Guards against exceeding this bound when many gateways each
+// forward a whole request, when gateways that just started have measured no rate, when a quiet time leaves unused
+// budget for a surge, and when requests are large; and against leaving the budget unused.
 func TestWarmUpBudgetHoldsForWholeFleet(t *testing.T) {
 	for _, scenario := range []warmUpScenario{
-		{name: "notified at once", loadBefore: 0.6, loadAfter: 0.6, leastUsed: 0.15},
-		{name: "notified one by one", staggered: true, loadBefore: 0.6, loadAfter: 0.6, leastUsed: 0.15},
-		{name: "a third are new", someNew: true, loadBefore: 0.6, loadAfter: 0.6, leastUsed: 0.15},
-		{name: "seven in ten restart", mostRestarted: true, loadBefore: 0.6, loadAfter: 0.6, leastUsed: 0.15},
-		{name: "a surge", loadBefore: 0.9, loadAfter: 1.3, leastUsed: 0.15},
-		{name: "a surge after quiet", loadBefore: 0.9, quiet: true, loadAfter: 1.3},
-		{name: "overload", loadBefore: 1.5, loadAfter: 2.5, leastUsed: 0.15},
-		{name: "large requests", largeRequests: true, loadBefore: 0.9, loadAfter: 0.9, leastUsed: 0.15},
-		{name: "large requests in a surge after quiet", largeRequests: true, loadBefore: 0.9, quiet: true, loadAfter: 1.3},
+		{name: "notified at once", loadBefore: 0.6, loadAfter: 0.6, minBudgetUsed: 0.15},
+		{name: "notified one by one", staggered: true, loadBefore: 0.6, loadAfter: 0.6, minBudgetUsed: 0.15},
+		{name: "a third restart", someRestarted: true, loadBefore: 0.6, loadAfter: 0.6, minBudgetUsed: 0.15},
+		{name: "seven in ten restart", mostRestarted: true, loadBefore: 0.6, loadAfter: 0.6, minBudgetUsed: 0.15},
+		{name: "a surge", loadBefore: 0.9, loadAfter: 1.3, minBudgetUsed: 0.15},
+		{name: "a surge after quiet", loadBefore: 0.9, quietAfterStart: true, loadAfter: 1.3},
+		{name: "overload", loadBefore: 1.5, loadAfter: 2.5, minBudgetUsed: 0.15},
+		{name: "large requests", largeRequests: true, loadBefore: 0.9, loadAfter: 0.9, minBudgetUsed: 0.15},
+		{name: "large, surge after quiet", largeRequests: true, loadBefore: 0.9, quietAfterStart: true, loadAfter: 1.3},
 	} {
 		for _, gateways := range []int{3, 20, 30, 350, 900} {
 			fleet := newWarmingFleet(gateways, scenario.largeRequests)
 			fleet.run(scenario)
-			leastUsed := scenario.leastUsed
-			switch { // a bucket fills from the first request on, and each gateway gets one in some seconds
+			leastUsed := scenario.minBudgetUsed
+			switch { // a gateway's bucket starts to fill at its first request, which takes seconds to arrive
 			case gateways > 500:
 				leastUsed /= 15
 			case gateways > 100:
@@ -141,10 +141,10 @@
 			}
 			excess, used := fleet.worstExcess(), fleet.usedBudget()
 			if excess > 1 || used < leastUsed {
-				t.Errorf("%s, %d gateways: at worst %.2f of the chance allowed beyond the budget; "+
-					"%.2f of the budget used, want %.2f at least", scenario.name, gateways, excess, used, leastUsed)
+				t.Errorf("%s, %d gateways: the worst window exceeds the budget by %.2f of the margin; "+
+					"%.2f of the budget used, want at least %.2f", scenario.name, gateways, excess, used, leastUsed)
 			} else {
-				t.Logf("%s, %d gateways: %.2f of the chance, %.2f of the budget", scenario.name, gateways, excess, used)
+				t.Logf("%s, %d gateways: %.2f of the margin, %.2f of the budget used", scenario.name, gateways, excess, used)
 			}
 		}
 	}
--- a/policy/warming_fleet_test.go
+++ b/policy/warming_fleet_test.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// The endpoints of a warmingFleet.
+// The endpoints of a warmingFleet: some are warm, the others warm up.
 const (
 	fleetWarmEndpoints    = 12
 	fleetWarmingEndpoints = 6
 	fleetFirstWarmingID   = 1000
-	fleetWarmingStart     = 60 * time.Second // when those that warm up start
-	fleetWarmCapacity     = 20.0             // units a second of a warm endpoint
+	fleetWarmingStart     = 60 * time.Second // start of the endpoints that warm up
+	fleetWarmCapacity     = 20.0             // units/s of a warm endpoint
 	fleetCapacity         = fleetWarmCapacity * fleetWarmEndpoints
 	fleetLatency          = 100 * time.Millisecond
 )
 
-// warmingList lists endpoints that have started at the given time, with ids from firstID on.
+// warmingList returns ready endpoints that started at the given time, with consecutive ids from firstID.
 func warmingList(firstID EndpointID, count int, startedAt time.Duration) (list []Endpoint) {
 	for i := range count {
 		list = append(list, Endpoint{ID: firstID + EndpointID(i), Weight: 1, State: StateReady, StartedAt: startedAt})
@@ -27,24 +27,25 @@
 	return list
 }
 
-// warmingFleet is a fleet of gateways before endpoints of which some warm up. One seed gives random arrivals;
-// what all gateways forward to an endpoint that warms up counts as one sum.
+// warmingFleet emulates gateways in front of endpoints of which some warm up, with seeded random arrivals. It records
+// what all gateways together forward to each endpoint that warms up.
 type warmingFleet struct {
-	cfg        Config
-	rng        *rand.Rand
-	now        time.Duration
-	gateways   []*testGateway
-	notifiedAt []time.Duration // when each gateway is notified of the endpoints that warm up
-	receiving  int             // so many gateways, the first ones, get all requests
-	sizes      []float64       // units of the requests, of which one is drawn
-	meanUnits  float64
-	nextID     RequestID
-	inFlight   []fleetAttempt           // by when they end
-	forwarded  map[EndpointID][]unitsAt // to the endpoints that warm up
-	seen       map[*testGateway]int     // attempts of each gateway that have been recorded
-	units      map[RequestID]float64    // of each request
-}
-
+	cfg               Config
+	rng               *rand.Rand
+	now               time.Duration
+	gateways          []*testGateway
+	notifiedAt        []time.Duration // time of each gateway's list update with the endpoints that warm up
+	receivingGateways int             // only the first gateways, this many, get requests
+	requestSizes      []float64       // units of requests, drawn at random; empty: always meanUnits
+	meanUnits         float64
+	nextID            RequestID
+	inFlight          []fleetAttempt              // attempts in flight, ordered by their end
+	forwardedUnits    map[EndpointID][]timedUnits // units forwarded to each endpoint that warms up
+	recordedAttempts  map[*testGateway]int        // number of attempts already recorded, by gateway
+	requestUnits      map[RequestID]float64       // units of each request
+}
+
+// fleetAttempt is an attempt in flight of one of a fleet's gateways.
 type fleetAttempt struct {
 	endsAt   time.Duration
 	gateway  *testGateway
@@ -52,7 +53,8 @@
 	endpoint EndpointID
 }
 
-type unitsAt struct {
+// timedUnits records the units of an attempt and when it was forwarded.
+type timedUnits struct {
 	at    time.Duration
 	units float64
 }
@@ -63,16 +65,16 @@
 	cfg.WarmUpInitialCapacity, cfg.WarmUpDuration = 0.2, 12*time.Second
 	cfg.WarmUpOverloadFactor, cfg.WarmUpOverloadWindow = 2.5, 3*time.Second
 	fleet := &warmingFleet{cfg: cfg, rng: rand.New(rand.NewPCG(uint64(gateways), 11)),
-		gateways: make([]*testGateway, gateways), notifiedAt: make([]time.Duration, gateways), receiving: gateways,
-		sizes: []float64{1, 1, 1, 1, 1, 2, 2, 2, 3, 4}, meanUnits: 1.8, forwarded: map[EndpointID][]unitsAt{},
-		seen: map[*testGateway]int{}, units: map[RequestID]float64{}}
+		gateways: make([]*testGateway, gateways), notifiedAt: make([]time.Duration, gateways), receivingGateways: gateways,
+		requestSizes: []float64{1, 1, 1, 1, 1, 2, 2, 2, 3, 4}, meanUnits: 1.8, forwardedUnits: map[EndpointID][]timedUnits{},
+		recordedAttempts: map[*testGateway]int{}, requestUnits: map[RequestID]float64{}}
 	if largeRequests {
-		fleet.sizes, fleet.meanUnits = nil, 4
+		fleet.requestSizes, fleet.meanUnits = nil, 4
 	}
 	return fleet
 }
 
-// run plays a scenario from the start of the fleet until the endpoints are warm.
+// run runs a scenario from the start of the fleet until all endpoints are warm.
 func (f *warmingFleet) run(scenario warmUpScenario) {
 	for index := range f.gateways {
 		f.startGateway(index)
@@ -84,24 +86,24 @@
 	loadBefore, loadAfter := scenario.loadBefore*fleetCapacity, scenario.loadAfter*fleetCapacity
 	if scenario.mostRestarted {
 		f.advanceTo(fleetWarmingStart-20*time.Second, loadBefore)
-		f.receiving = max(1, len(f.gateways)*3/10)
+		f.receivingGateways = max(1, len(f.gateways)*3/10)
 	}
 	f.advanceTo(fleetWarmingStart-time.Second, loadBefore)
-	for index := f.receiving; index < len(f.gateways); index++ {
+	for index := f.receivingGateways; index < len(f.gateways); index++ {
 		f.startGateway(index)
 	}
-	f.receiving = len(f.gateways)
-	for index := 0; scenario.someNew && index < len(f.gateways); index += 3 {
+	f.receivingGateways = len(f.gateways)
+	for index := 0; scenario.someRestarted && index < len(f.gateways); index += 3 {
 		f.startGateway(index)
 	}
 	f.advanceTo(fleetWarmingStart, loadBefore)
-	if scenario.quiet {
+	if scenario.quietAfterStart {
 		f.advanceTo(fleetWarmingStart+3*f.cfg.WarmUpOverloadWindow, 1)
 	}
 	f.advanceTo(fleetWarmingStart+f.cfg.WarmUpDuration, loadAfter)
 }
 
-// startGateway starts a gateway, or starts it anew.
+// startGateway starts or restarts a gateway.
 func (f *warmingFleet) startGateway(index int) {
 	cfg := f.cfg
 	cfg.GatewayIndex, cfg.Seed = index, f.rng.Uint64()
@@ -110,11 +112,11 @@
 	f.gateways[index] = gateway
 }
 
-// advanceTo lets requests arrive at random, so many units a second over all gateways, until a time.
+// advanceTo submits requests at random times until the given time, at a rate in units/s over all gateways.
 func (f *warmingFleet) advanceTo(until time.Duration, rate float64) {
 	for {
-		gap := f.rng.ExpFloat64() * f.meanUnits / rate
-		at := f.now + time.Duration(gap*float64(time.Second))
+		interval := f.rng.ExpFloat64() * f.meanUnits / rate
+		at := f.now + time.Duration(interval*float64(time.Second))
 		end := min(at, until)
 		f.finishAttempts(end, rate)
 		f.updateEndpoints(end)
@@ -126,7 +128,7 @@
 	}
 }
 
-// finishAttempts ends the attempts that are due. The endpoints answer as many as they have capacity for.
+// finishAttempts ends the attempts that are due. At a rate over the endpoints' capacity, the excess is rejected.
 func (f *warmingFleet) finishAttempts(until time.Duration, rate float64) {
 	for len(f.inFlight) > 0 && f.inFlight[0].endsAt <= until {
 		attempt := f.inFlight[0]
@@ -140,7 +142,7 @@
 	}
 }
 
-// updateEndpoints notifies gateways of the endpoints that warm up.
+// updateEndpoints sends the endpoints that warm up to the gateways that are due to be notified.
 func (f *warmingFleet) updateEndpoints(until time.Duration) {
 	list := warmingList(fleetFirstWarmingID, fleetWarmingEndpoints, fleetWarmingStart)
 	for index, notifiedAt := range f.notifiedAt {
@@ -153,51 +155,51 @@
 
 // submit submits a request of a new customer at a random gateway.
 func (f *warmingFleet) submit() {
-	gateway := f.gateways[f.rng.IntN(f.receiving)]
+	gateway := f.gateways[f.rng.IntN(f.receivingGateways)]
 	f.advance(gateway, f.now)
 	f.nextID++
 	units := f.meanUnits
-	if len(f.sizes) > 0 {
-		units = f.sizes[f.rng.IntN(len(f.sizes))]
+	if len(f.requestSizes) > 0 {
+		units = f.requestSizes[f.rng.IntN(len(f.requestSizes))]
 	}
-	f.units[f.nextID] = units
+	f.requestUnits[f.nextID] = units
 	gateway.engine.Submit(f.now, Request{ID: f.nextID, Plan: unknownPlan, Customer: CustomerID(f.nextID),
 		TimeLeft: time.Second, Units: units, SetSize: 1})
 	f.recordAttempts(gateway)
 }
 
-// advance lets time pass at a gateway. Requests that it has held may be forwarded meanwhile.
+// advance moves a gateway's time forward and records the attempts of held requests that it forwards.
 func (f *warmingFleet) advance(gateway *testGateway, until time.Duration) {
 	gateway.advanceTo(max(until, gateway.now))
 	f.recordAttempts(gateway)
 }
 
-// recordAttempts notes the attempts that a gateway has made since the last call.
+// recordAttempts records the attempts that a gateway has started since the last call.
 func (f *warmingFleet) recordAttempts(gateway *testGateway) {
-	for _, made := range gateway.forwarded[f.seen[gateway]:] {
-		attempt := fleetAttempt{made.at + fleetLatency, gateway, made.request, made.endpoint}
-		place := sort.Search(len(f.inFlight), func(i int) bool { return f.inFlight[i].endsAt > attempt.endsAt })
-		f.inFlight = slices.Insert(f.inFlight, place, attempt)
-		if made.endpoint >= fleetFirstWarmingID {
-			f.recordUnits(made.endpoint, unitsAt{made.at, f.units[made.request]})
+	for _, started := range gateway.forwarded[f.recordedAttempts[gateway]:] {
+		attempt := fleetAttempt{started.at + fleetLatency, gateway, started.request, started.endpoint}
+		position := sort.Search(len(f.inFlight), func(i int) bool { return f.inFlight[i].endsAt > attempt.endsAt })
+		f.inFlight = slices.Insert(f.inFlight, position, attempt)
+		if started.endpoint >= fleetFirstWarmingID {
+			f.recordUnits(started.endpoint, timedUnits{started.at, f.requestUnits[started.request]})
 		}
 	}
-	f.seen[gateway] = len(gateway.forwarded)
+	f.recordedAttempts[gateway] = len(gateway.forwarded)
 }
 
-// recordUnits keeps what was forwarded to an endpoint in the order of time.
-func (f *warmingFleet) recordUnits(endpoint EndpointID, sent unitsAt) {
-	all := f.forwarded[endpoint]
-	place := sort.Search(len(all), func(i int) bool { return all[i].at > sent.at })
-	f.forwarded[endpoint] = slices.Insert(all, place, sent)
+// recordUnits inserts units that were forwarded to an endpoint in the order of time.
+func (f *warmingFleet) recordUnits(endpoint EndpointID, forwarded timedUnits) {
+	recorded := f.forwardedUnits[endpoint]
+	position := sort.Search(len(recorded), func(i int) bool { return recorded[i].at > forwarded.at })
+	f.forwardedUnits[endpoint] = slices.Insert(recorded, position, forwarded)
 }
 
-// worstExcess looks at each window that ends with an attempt, for what was forwarded beyond the budget. It is
-// over 1 if that is more than chance explains.
+// worstExcess returns the largest excess over the budget within a window, relative to the margin for random variation.
+// It examines each window that ends with an attempt. A result over 1 breaks the slow-start bound.
 func (f *warmingFleet) worstExcess() float64 {
-	worst := math.Inf(-1)
+	worstRatio := math.Inf(-1)
 	window := f.cfg.WarmUpOverloadWindow
-	for _, attempts := range f.forwarded {
+	for _, attempts := range f.forwardedUnits {
 		first, units := 0, 0.0
 		for _, attempt := range attempts {
 			units += attempt.units
@@ -206,23 +208,23 @@
 				first++
 			}
 			budget := f.budgetRate(attempt.at) * window.Seconds() / f.meanUnits
-			worst = max(worst, (units/f.meanUnits-budget)/(2*math.Sqrt(budget)+2))
+			worstRatio = max(worstRatio, (units/f.meanUnits-budget)/(2*math.Sqrt(budget)+2))
 		}
 	}
-	return worst
+	return worstRatio
 }
 
-// budgetRate is what all gateways together may forward to an endpoint that warms up, in units a second.
+// budgetRate returns the units/s that all gateways together may forward to an endpoint that warms up.
 func (f *warmingFleet) budgetRate(at time.Duration) float64 {
 	initial := f.cfg.WarmUpInitialCapacity
-	warmth := initial + (1-initial)*(at-fleetWarmingStart).Seconds()/f.cfg.WarmUpDuration.Seconds()
-	return f.cfg.WarmUpOverloadFactor * fleetWarmCapacity * warmth
+	capacityShare := initial + (1-initial)*(at-fleetWarmingStart).Seconds()/f.cfg.WarmUpDuration.Seconds()
+	return f.cfg.WarmUpOverloadFactor * fleetWarmCapacity * capacityShare
 }
 
-// usedBudget is the share of the budget of all endpoints that warm up that was used.
+// usedBudget returns the used share of the total warm-up budget of all endpoints that warm up.
 func (f *warmingFleet) usedBudget() float64 {
 	used := 0.0
-	for _, attempts := range f.forwarded {
+	for _, attempts := range f.forwardedUnits {
 		for _, attempt := range attempts {
 			used += attempt.units
 		}
