--- a/policy/properties_model_test.go
+++ b/policy/properties_model_test.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// rule names one of the rules that every engine keeps, whatever events it gets.
+// rule describes a rule that an engine must keep for any sequence of events.
 type rule string
 
 const (
 	ruleOneAnswer     rule = "exactly one final answer, by the deadline"
 	ruleReadyEndpoint rule = "forward to ready endpoints only"
-	ruleNonIdempotent rule = "no repeat of a non-idempotent request that may have run"
-	ruleKeyScope      rule = "a deduplicated request is repeated within the scope and life of its key only"
+	ruleNonIdempotent rule = "no retry of a non-idempotent request that may have been executed"
+	ruleKeyScope      rule = "retry of a deduplicated request only within the scope and lifetime of its key"
 	ruleRejection     rule = "no rejection after a possible execution"
-	ruleRelease       rule = "what is in flight is counted, and released at its end"
+	ruleInFlight      rule = "units in flight are counted, and released when the attempt ends"
 	ruleLimits        rule = "the configured limits are kept"
 )
 
-// unitsTolerance bounds the rounding errors of sums, relative to their largest term.
+// unitsTolerance bounds the rounding errors of sums of units, relative to the peak of units in flight.
 const unitsTolerance = 1e-9
 
-// modelGateway is a gateway around an engine. It carries out the engine's actions as a real gateway would, ends each
-// attempt in time, and notes where an action breaks a rule. The same scenario leads to the same run.
+// modelGateway implements Actions as a real gateway would, ends each attempt by its deadline, and records each action
+// that breaks a rule. It is deterministic: the same scenario leads to the same run.
 type modelGateway struct {
-	engine     *Engine
-	cfg        Config
-	now        time.Duration
-	queue      eventQueue // timers, time-outs and cancellations
-	answerBy   time.Duration
-	dropTimers bool // timers that are not pending are dropped instead of fired
-
-	endpoints    map[EndpointID]Endpoint // as the engine was last told
-	requests     []*modelRequest         // by id, from 1
-	mostInFlight float64                 // units at once, up to now
-	log          []action                // all of them
-	broken       map[rule][]string
-	seen         map[situation]int
+	engine           *Engine
+	cfg              Config
+	now              time.Duration
+	queue            eventQueue    // timers, and attempts that time out or are cancelled
+	shutdownDeadline time.Duration // 0 until a shutdown begins
+	dropStaleTimers  bool          // drops timers that are not pending instead of firing them
+
+	endpoints         map[EndpointID]Endpoint // the endpoint list that the engine knows
+	requests          []*modelRequest         // in order of their ids, which start at 1
+	peakInFlightUnits float64                 // highest sum of units in flight so far
+	log               []action                // all actions of the engine
+	violations        map[rule][]string
+	occurrences       map[situation]int
 }
 
-// action is one call of Actions.
+// action records one call of Actions.
 type action struct {
 	at       time.Duration
 	name     string
@@ -49,10 +49,10 @@
 	endpoint EndpointID
 	attempt  int
 	timer    Timer
-	duration time.Duration // or a time
+	duration time.Duration // the call's duration or point in time, if any
 }
 
-// modelRequest is a request as its client knows it.
+// modelRequest holds what the client knows about its request.
 type modelRequest struct {
 	Request
 	class        Class
@@ -65,7 +65,7 @@
 type modelAttempt struct {
 	request  *modelRequest
 	number   int
-	endpoint Endpoint // as it was listed when the attempt was forwarded
+	endpoint Endpoint // its list entry when the attempt was forwarded
 	sentAt   time.Duration
 	ended    bool
 	status   Status
@@ -73,27 +73,27 @@
 
 func newModelGateway(cfg Config, dropTimers bool) *modelGateway {
 	m := &modelGateway{
-		cfg: cfg, now: time.Hour, dropTimers: dropTimers,
-		endpoints: map[EndpointID]Endpoint{}, broken: map[rule][]string{}, seen: map[situation]int{},
+		cfg: cfg, now: time.Hour, dropStaleTimers: dropTimers,
+		endpoints: map[EndpointID]Endpoint{}, violations: map[rule][]string{}, occurrences: map[situation]int{},
 	}
 	m.engine = New(cfg, m)
 	m.engine.Start(m.now)
 	return m
 }
 
-func (m *modelGateway) violate(broken rule, format string, values ...any) {
-	m.broken[broken] = append(m.broken[broken], fmt.Sprintf("%v ", m.now)+fmt.Sprintf(format, values...))
+func (m *modelGateway) recordViolation(violated rule, format string, values ...any) {
+	m.violations[violated] = append(m.violations[violated], fmt.Sprintf("%v ", m.now)+fmt.Sprintf(format, values...))
 }
 
-func (m *modelGateway) record(done action) {
-	done.at = m.now
-	m.log = append(m.log, done)
+func (m *modelGateway) record(called action) {
+	called.at = m.now
+	m.log = append(m.log, called)
 }
 
-// closed reports whether nothing is owed to the client any more.
-func (r *modelRequest) closed() bool { return r.answers > 0 || r.disconnected }
+// answeredOrDisconnected reports whether the request needs no further answer.
+func (r *modelRequest) answeredOrDisconnected() bool { return r.answers > 0 || r.disconnected }
 
-// inFlight returns the attempt that has not ended, or nil.
+// inFlight returns the attempt that has not ended, or nil if there is none.
 func (r *modelRequest) inFlight() *modelAttempt {
 	for _, attempt := range r.attempts {
 		if !attempt.ended {
@@ -103,12 +103,12 @@
 	return nil
 }
 
-// mayHaveRun returns the first attempt that may have been executed, or nil. One in flight is among them.
-func (r *modelRequest) mayHaveRun() *modelAttempt {
+// firstPossibleExecution returns the first attempt that may have been executed, or nil. An attempt in flight counts.
+func (r *modelRequest) firstPossibleExecution() *modelAttempt {
 	for _, attempt := range r.attempts {
-		neverRan := attempt.status == StatusRejected || attempt.status == StatusConnectFailed ||
+		notExecuted := attempt.status == StatusRejected || attempt.status == StatusConnectFailed ||
 			attempt.status == StatusNotSent
-		if !attempt.ended || !neverRan {
+		if !attempt.ended || !notExecuted {
 			return attempt
 		}
 	}
@@ -122,9 +122,9 @@
 	return m.requests[id-1]
 }
 
-// advance fires what is due within the given time.
-func (m *modelGateway) advance(by time.Duration) {
-	until := m.now + by
+// advance runs the events that are due within the given duration.
+func (m *modelGateway) advance(duration time.Duration) {
+	until := m.now + duration
 	for due, ok := m.queue.popDue(until); ok; due, ok = m.queue.popDue(until) {
 		m.now = due.at
 		due.run()
@@ -134,8 +134,8 @@
 
 func (m *modelGateway) submit(request Request) {
 	request.ID = RequestID(len(m.requests) + 1)
-	if m.answerBy > 0 {
-		request.TimeLeft = min(request.TimeLeft, m.answerBy-m.now)
+	if m.shutdownDeadline > 0 {
+		request.TimeLeft = min(request.TimeLeft, m.shutdownDeadline-m.now)
 	}
 	r := &modelRequest{Request: request, deadline: m.now + max(0, request.TimeLeft)}
 	if request.Class >= 0 && request.Class < len(m.cfg.Classes) {
@@ -145,22 +145,22 @@
 	m.engine.Submit(m.now, request)
 }
 
-// finish ends an attempt. A client whose attempt succeeds has its final answer.
+// finish ends an attempt. A successful attempt is the final answer of its request.
 func (m *modelGateway) finish(attempt *modelAttempt, result AttemptResult) {
 	if attempt.ended {
 		return
 	}
 	r := attempt.request
 	attempt.ended, attempt.status = true, result.Status
-	if result.Status == StatusOK && !r.closed() {
+	if result.Status == StatusOK && !r.answeredOrDisconnected() {
 		r.answers++
 	}
 	result.Request, result.Attempt, result.Endpoint = r.ID, attempt.number, attempt.endpoint.ID
-	result.RequestDone = r.closed()
+	result.RequestDone = r.answeredOrDisconnected()
 	m.engine.AttemptFinished(m.now, result)
 }
 
-// endAt ends an attempt at the given time unless it has ended by then.
+// endAt schedules the end of an attempt that has not ended by the given time.
 func (m *modelGateway) endAt(at time.Duration, attempt *modelAttempt, status Status) {
 	m.queue.add(max(m.now, at), func() {
 		m.finish(attempt, AttemptResult{Status: status, Latency: m.now - attempt.sentAt})
@@ -168,11 +168,11 @@
 }
 
 func (m *modelGateway) disconnect(r *modelRequest) {
-	if r.closed() {
+	if r.answeredOrDisconnected() {
 		return
 	}
 	if r.inFlight() != nil {
-		m.seen[disconnectedInFlight]++
+		m.occurrences[disconnectedDuringAttempt]++
 	}
 	r.disconnected = true
 	m.engine.ClientDisconnected(m.now, r.ID)
@@ -190,50 +190,50 @@
 	m.engine.UpdateEndpoints(m.now, kind, list)
 }
 
-func (m *modelGateway) shutDown(answerBy time.Duration) {
-	if m.answerBy > 0 {
+func (m *modelGateway) shutDown(deadline time.Duration) {
+	if m.shutdownDeadline > 0 {
 		return
 	}
-	m.answerBy = max(m.now, answerBy)
+	m.shutdownDeadline = max(m.now, deadline)
 	for _, r := range m.requests {
-		if r.closed() {
+		if r.answeredOrDisconnected() {
 			continue
 		}
-		r.deadline = min(r.deadline, m.answerBy)
+		r.deadline = min(r.deadline, m.shutdownDeadline)
 		if attempt := r.inFlight(); attempt != nil {
 			m.endAt(r.deadline, attempt, StatusTimedOut)
 		} else {
-			m.seen[shutdownWhileQueued]++
+			m.occurrences[shutdownWhileQueued]++
 		}
 	}
-	m.engine.BeginShutdown(m.now, answerBy)
+	m.engine.BeginShutdown(m.now, deadline)
 }
 
-func (m *modelGateway) fire(timer Timer) {
+func (m *modelGateway) fireTimer(timer Timer) {
 	if !m.engine.TimerPending(timer) {
-		m.seen[timerNotPending]++
-		if m.dropTimers {
+		m.occurrences[timerNotPending]++
+		if m.dropStaleTimers {
 			return
 		}
 	}
 	m.engine.TimerFired(m.now, timer)
 }
 
-// checkOpenRequests compares the number of open requests with the limit.
+// checkOpenRequests checks the number of open requests against the configured limit.
 func (m *modelGateway) checkOpenRequests() {
 	open := 0
 	for _, r := range m.requests {
-		if !r.closed() {
+		if !r.answeredOrDisconnected() {
 			open++
 		}
 	}
 	if m.cfg.MaxOpenRequests > 0 && open > m.cfg.MaxOpenRequests {
-		m.violate(ruleLimits, "%d requests are open", open)
+		m.recordViolation(ruleLimits, "%d requests are open, more than the limit", open)
 	}
 }
 
-// checkInFlight compares the units in flight that the engine counts with those of the attempts. Sums of floating-point
-// numbers may differ by a little.
+// checkInFlight compares the engine's counts of units in flight with the sums over the attempts in flight, within
+// rounding errors.
 func (m *modelGateway) checkInFlight() {
 	want, wantAt := 0.0, map[EndpointID]float64{}
 	for _, r := range m.requests {
@@ -242,19 +242,19 @@
 			wantAt[attempt.endpoint.ID] += r.effectiveUnits()
 		}
 	}
-	m.mostInFlight = max(m.mostInFlight, want)
-	differ := func(a, b float64) bool { return math.Abs(a-b) > unitsTolerance*m.mostInFlight }
+	m.peakInFlightUnits = max(m.peakInFlightUnits, want)
+	differ := func(a, b float64) bool { return math.Abs(a-b) > unitsTolerance*m.peakInFlightUnits }
 	if differ(m.engine.inFlightUnits, want) {
-		m.violate(ruleRelease, "%v units in flight are counted, want %v", m.engine.inFlightUnits, want)
+		m.recordViolation(ruleInFlight, "%v units are counted in flight, want %v", m.engine.inFlightUnits, want)
 	}
 	for _, ep := range m.engine.endpointList {
 		if differ(ep.inFlightUnits, wantAt[ep.ID]) {
-			m.violate(ruleRelease, "%v units at endpoint %d, want %v", ep.inFlightUnits, ep.ID, wantAt[ep.ID])
+			m.recordViolation(ruleInFlight, "%v units counted at endpoint %d, want %v", ep.inFlightUnits, ep.ID, wantAt[ep.ID])
 		}
 	}
 }
 
-// effectiveUnits is what the request counts as: 1 if its units make no sense.
+// effectiveUnits returns the units that the engine counts for the request: 1 if the given units are invalid.
 func (r *modelRequest) effectiveUnits() float64 {
 	if !(r.Units > 0) || math.IsInf(r.Units, 0) {
 		return 1
@@ -262,10 +262,10 @@
 	return r.Units
 }
 
-// settle lets all deadlines of a usual length pass, ends the attempts that are then still in flight, and checks what
-// must hold in the end.
-func (m *modelGateway) settle() {
-	m.advance(2 * longestUsualDeadline)
+// completeAndCheck lets all regular deadlines pass, ends the attempts that are still in flight, and checks that each
+// request has been answered and nothing is left in flight.
+func (m *modelGateway) completeAndCheck() {
+	m.advance(2 * maxRegularTimeLeft)
 	for _, r := range m.requests {
 		if attempt := r.inFlight(); attempt != nil {
 			m.finish(attempt, AttemptResult{Latency: m.now - attempt.sentAt})
@@ -273,21 +273,22 @@
 	}
 	for _, r := range m.requests {
 		if r.answers == 0 && !r.disconnected {
-			m.violate(ruleOneAnswer, "request %d has no answer", r.ID)
+			m.recordViolation(ruleOneAnswer, "request %d has no answer", r.ID)
 		}
 	}
 	e := m.engine
 	if len(e.requests) != 0 || len(e.orphans) != 0 || e.inFlightUnits != 0 {
-		m.violate(ruleRelease, "%d requests, %d orphans, %v units", len(e.requests), len(e.orphans), e.inFlightUnits)
+		m.recordViolation(ruleInFlight, "%d requests, %d orphans and %v units are left",
+			len(e.requests), len(e.orphans), e.inFlightUnits)
 	}
 	for _, ep := range e.endpointList {
 		if ep.inFlight != 0 || ep.inFlightUnits != 0 {
-			m.violate(ruleRelease, "endpoint %d: %d attempts, %v units", ep.ID, ep.inFlight, ep.inFlightUnits)
+			m.recordViolation(ruleInFlight, "endpoint %d has %d attempts, %v units left", ep.ID, ep.inFlight, ep.inFlightUnits)
 		}
 	}
 	for _, c := range e.customerList {
 		if c.openRequests != 0 || c.heldRequests != 0 {
-			m.violate(ruleRelease, "customer %d: %d open, %d held", c.id, c.openRequests, c.heldRequests)
+			m.recordViolation(ruleInFlight, "customer %d has %d open, %d held requests", c.id, c.openRequests, c.heldRequests)
 		}
 	}
 }
@@ -296,8 +297,8 @@
 func (m *modelGateway) Forward(id RequestID, endpoint EndpointID, giveUpAt time.Duration) {
 	m.record(action{name: "forward", request: id, endpoint: endpoint, duration: giveUpAt})
 	r := m.request(id)
-	if r == nil || r.closed() || m.now >= r.deadline || r.inFlight() != nil {
-		m.violate(ruleOneAnswer, "request %d is closed, late or in flight and is forwarded", id)
+	if r == nil || r.answeredOrDisconnected() || m.now >= r.deadline || r.inFlight() != nil {
+		m.recordViolation(ruleOneAnswer, "request %d is answered, late or in flight but forwarded", id)
 		return
 	}
 	m.checkForward(r, endpoint)
@@ -312,38 +313,39 @@
 	m.endAt(end, attempt, StatusTimedOut)
 }
 
-// checkForward checks the rules on endpoints and on repeats.
+// checkForward checks the rules on endpoints, retries and the number of attempts.
 func (m *modelGateway) checkForward(r *modelRequest, endpoint EndpointID) {
 	if m.cfg.MaxAttempts > 0 && len(r.attempts) >= m.cfg.MaxAttempts {
-		m.violate(ruleLimits, "request %d after %d attempts", r.ID, len(r.attempts))
+		m.recordViolation(ruleLimits, "request %d is forwarded after %d attempts", r.ID, len(r.attempts))
 	}
-	m.seen[forwarded]++
+	m.occurrences[requestForwarded]++
 	ep := m.endpoints[endpoint]
 	if ep.State != StateReady {
-		m.violate(ruleReadyEndpoint, "request %d to endpoint %d in state %d", r.ID, endpoint, ep.State)
+		m.recordViolation(ruleReadyEndpoint, "request %d is forwarded to endpoint %d in state %d", r.ID, endpoint, ep.State)
 	}
-	first := r.mayHaveRun()
+	first := r.firstPossibleExecution()
 	switch {
 	case first == nil && len(r.attempts) > 0:
-		m.seen[retriedNeverRun]++
+		m.occurrences[retriedAfterNoExecution]++
 	case first == nil || r.class.Idempotency == Idempotent:
 	case r.class.Idempotency == NonIdempotent:
-		m.violate(ruleNonIdempotent, "request %d after status %d", r.ID, first.status)
+		m.recordViolation(ruleNonIdempotent, "request %d is retried after status %d", r.ID, first.status)
 	default:
-		m.seen[repeatedByKey]++
+		m.occurrences[retriedByIdempotencyKey]++
 		sameZone := r.class.KeyScope != KeyScopeZone || ep.Zone == first.endpoint.Zone
 		sameCell := r.class.KeyScope != KeyScopeCell || ep.Cell == first.endpoint.Cell
 		if age := m.now - first.sentAt; age >= r.class.KeyTTL || !sameZone || !sameCell {
-			m.violate(ruleKeyScope, "request %d: key of age %v, same zone %v, same cell %v", r.ID, age, sameZone, sameCell)
+			m.recordViolation(ruleKeyScope, "request %d is retried: age of key %v, same zone %v, same cell %v",
+				r.ID, age, sameZone, sameCell)
 		}
 	}
 }
 
-// answer counts a final answer that the engine gives.
-func (m *modelGateway) answer(id RequestID) *modelRequest {
+// recordAnswer counts a final answer by the engine. It returns nil if the request must not get one.
+func (m *modelGateway) recordAnswer(id RequestID) *modelRequest {
 	r := m.request(id)
-	if r == nil || r.closed() || m.now > r.deadline {
-		m.violate(ruleOneAnswer, "request %d is unknown, closed or late and gets an answer", id)
+	if r == nil || r.answeredOrDisconnected() || m.now > r.deadline {
+		m.recordViolation(ruleOneAnswer, "request %d is unknown, already answered or late but gets an answer", id)
 		return nil
 	}
 	r.answers++
@@ -353,27 +355,27 @@
 // Reject implements Actions.
 func (m *modelGateway) Reject(id RequestID, retryAfter time.Duration) {
 	m.record(action{name: "reject", request: id, duration: retryAfter})
-	r := m.answer(id)
+	r := m.recordAnswer(id)
 	if r == nil {
 		return
 	}
-	if first := r.mayHaveRun(); first != nil && r.class.Idempotency != Idempotent {
-		m.violate(ruleRejection, "request %d after status %d", id, first.status)
+	if first := r.firstPossibleExecution(); first != nil && r.class.Idempotency != Idempotent {
+		m.recordViolation(ruleRejection, "request %d is rejected after status %d", id, first.status)
 	}
 }
 
 // Fail implements Actions.
 func (m *modelGateway) Fail(id RequestID) {
 	m.record(action{name: "fail", request: id})
-	m.seen[failed]++
-	m.answer(id)
+	m.occurrences[requestFailed]++
+	m.recordAnswer(id)
 }
 
-// CancelAttempt implements Actions. The result is an event of its own.
+// CancelAttempt implements Actions. The attempt's result follows as a separate event.
 func (m *modelGateway) CancelAttempt(id RequestID, number int) {
 	m.record(action{name: "cancel", request: id, attempt: number})
 	if !m.cfg.CanCancel {
-		m.violate(ruleLimits, "request %d is cancelled", id)
+		m.recordViolation(ruleLimits, "request %d is cancelled though cancelling is off", id)
 	}
 	r := m.request(id)
 	if r == nil {
@@ -381,7 +383,7 @@
 	}
 	i := slices.IndexFunc(r.attempts, func(attempt *modelAttempt) bool { return attempt.number == number })
 	if i >= 0 {
-		m.seen[cancelled]++
+		m.occurrences[attemptCancelled]++
 		m.endAt(m.now, r.attempts[i], StatusCancelled)
 	}
 }
@@ -389,7 +391,7 @@
 // StartTimer implements Actions.
 func (m *modelGateway) StartTimer(after time.Duration, timer Timer) {
 	m.record(action{name: "start timer", timer: timer, duration: after})
-	m.queue.add(m.now+max(0, after), func() { m.fire(timer) })
+	m.queue.add(m.now+max(0, after), func() { m.fireTimer(timer) })
 }
 
 // WatchEndpoints implements Actions.
--- a/policy/properties_scenario_test.go
+++ b/policy/properties_scenario_test.go
@@ -8,77 +8,79 @@
 	"pgregory.net/rapid"
 )
 
-// longestUsualDeadline is the longest time that a request has left, but for absurd values.
-const longestUsualDeadline = 3 * time.Second
+// maxRegularTimeLeft is the longest time left of a request, apart from the extreme values that drawSubmit also draws.
+const maxRegularTimeLeft = 3 * time.Second
 
-// The number of steps of a scenario.
+// Bounds on the number of steps in a scenario.
 const (
 	minSteps = 20
 	maxSteps = 80
 )
 
-// situation is something that has to occur in the scenarios, or they would test nothing.
+// situation describes a condition that the scenarios must reach for the properties to be tested.
 type situation string
 
 const (
-	forwarded            situation = "a request is forwarded"
-	failed               situation = "a request fails"
-	cancelled            situation = "an attempt is cancelled"
-	retriedNeverRun      situation = "an attempt follows others that have not run"
-	repeatedByKey        situation = "an attempt follows one that may have run, by its key"
-	disconnectedInFlight situation = "a client disconnects during an attempt"
-	shutdownWhileQueued  situation = "a shutdown begins while a request is queued"
-	timerNotPending      situation = "a timer is not pending any more"
-	drainedInFlight      situation = "an endpoint drains or is removed during an attempt"
+	requestForwarded          situation = "a request is forwarded"
+	requestFailed             situation = "a request fails"
+	attemptCancelled          situation = "an attempt is cancelled"
+	retriedAfterNoExecution   situation = "an attempt follows others that were not executed"
+	retriedByIdempotencyKey   situation = "an attempt follows one that may have been executed, by its key"
+	disconnectedDuringAttempt situation = "a client disconnects during an attempt"
+	shutdownWhileQueued       situation = "a shutdown begins while a request is queued"
+	timerNotPending           situation = "a timer is no longer pending"
+	drainedDuringAttempt      situation = "an endpoint drains or is removed during an attempt"
 )
 
-var situations = []situation{forwarded, failed, cancelled, retriedNeverRun, repeatedByKey, disconnectedInFlight,
-	shutdownWhileQueued, timerNotPending, drainedInFlight}
+// situations lists all situations.
+var situations = []situation{requestForwarded, requestFailed, attemptCancelled, retriedAfterNoExecution,
+	retriedByIdempotencyKey, disconnectedDuringAttempt, shutdownWhileQueued, timerNotPending, drainedDuringAttempt}
 
-// scenario is a configuration and what happens to a gateway with it.
+// scenario holds a configuration and the steps that a gateway with it goes through.
 type scenario struct {
 	cfg   Config
 	steps []step
 }
 
-// step is one thing that happens. It is carried out after a pause.
+// step is an event or a group of events that follows after a pause.
 type step struct {
 	name  string
 	pause time.Duration
 	run   func(m *modelGateway)
 }
 
-// GoString names the step in the report of a failure.
+// GoString describes the step in failure reports.
 func (s step) GoString() string { return fmt.Sprintf("%s after %v", s.name, s.pause) }
 
-// drawScenario draws a scenario. All random choices are made here, so that it can be run more than once.
+// drawScenario draws a scenario. It makes all random choices in advance, so that a scenario can be run repeatedly.
 func drawScenario(t *rapid.T) scenario {
 	return scenario{cfg: drawConfig(t), steps: rapid.SliceOfN(rapid.Custom(drawStep), minSteps, maxSteps).Draw(t, "steps")}
 }
 
-// play runs a scenario to its end.
-func (s scenario) play(dropTimers bool) *modelGateway {
+// run runs the scenario and returns the gateway with the recorded actions and violations.
+func (s scenario) run(dropTimers bool) *modelGateway {
 	m := newModelGateway(s.cfg, dropTimers)
-	m.update(UpdateCached, readyEndpointsOfZones(4))
+	m.update(UpdateCached, readyEndpointsInZones(4))
 	for _, step := range s.steps {
 		m.advance(step.pause)
 		step.run(m)
 		m.checkInFlight()
 		m.checkOpenRequests()
 	}
-	m.settle()
+	m.completeAndCheck()
 	return m
 }
 
-// endpointNumbered returns a ready endpoint. Its zone and cell follow from its number, as they never change.
-func endpointNumbered(id int) Endpoint {
+// readyEndpoint returns a ready endpoint. Its zone and cell derive from its id, since they must not change.
+func readyEndpoint(id int) Endpoint {
 	return Endpoint{ID: EndpointID(id), Weight: 1, State: StateReady, Zone: id % 2, Cell: id % 3}
 }
 
-func readyEndpointsOfZones(count int) []Endpoint {
+// readyEndpointsInZones returns the endpoints 1 to count, alternating between two zones.
+func readyEndpointsInZones(count int) []Endpoint {
 	var list []Endpoint
 	for id := 1; id <= count; id++ {
-		list = append(list, endpointNumbered(id))
+		list = append(list, readyEndpoint(id))
 	}
 	return list
 }
@@ -93,21 +95,21 @@
 	cfg.MaxAttempts = rapid.IntRange(0, 4).Draw(t, "attempts")
 	cfg.MaxOpenRequests = rapid.SampledFrom([]int{0, 0, 5}).Draw(t, "open requests")
 	cfg.MeterPeriod = rapid.SampledFrom([]time.Duration{time.Second, 0, -1}).Draw(t, "meter period")
-	cfg.Classes[nonIdempotentClass].KeyTTL = time.Second // of no account, for no key is known
+	cfg.Classes[nonIdempotentClass].KeyTTL = time.Second // must have no effect: the class has no keys
 	cfg.Classes = append(cfg.Classes, Class{LatencyObjective: time.Second, PriorityWeight: 1,
 		Idempotency: IdempotentByKey, KeyScope: KeyScopeCell, KeyTTL: 500 * time.Millisecond})
 	cfg.Plans = append(cfg.Plans, Plan{PriceFactor: 1}, Plan{PriceFactor: 1, MaxConcurrent: 3})
 	return cfg
 }
 
-// drawStep draws a step. Names that occur more than once are drawn more often.
+// drawStep draws a step. A name that occurs more than once in the list is drawn more often.
 func drawStep(t *rapid.T) step {
 	name := rapid.SampledFrom([]string{"submit", "submit", "submit", "submit", "finish", "finish", "finish", "finish",
 		"update", "disconnect", "duplicate", "stream", "timer", "shutdown"}).Draw(t, "step")
 	pause := rapid.SampledFrom([]time.Duration{0, 0, 1, 20, 50, 100, 400, 500}).Draw(t, "pause") * time.Millisecond
 	draw := map[string]func(t *rapid.T) func(m *modelGateway){
-		"submit": drawSubmit, "finish": drawFinish, "update": drawUpdate, "disconnect": drawDisconnect,
-		"duplicate": drawDuplicate, "stream": drawStream, "timer": drawTimer, "shutdown": drawShutdown,
+		"submit": drawSubmit, "finish": drawAttemptEnd, "update": drawUpdate, "disconnect": drawDisconnect,
+		"duplicate": drawUnmatchedResult, "stream": drawResponseStart, "timer": drawTimer, "shutdown": drawShutdown,
 	}[name]
 	return step{name: name, pause: pause, run: draw(t)}
 }
@@ -117,7 +119,7 @@
 		Class:    rapid.SampledFrom([]int{0, 1, 1, 2, 2, 3, 3, 0, 1, 2, 3, -1, 9}).Draw(t, "class"),
 		Plan:     rapid.SampledFrom([]int{0, 1, 2, 2, 3, 3, 3, 4, -1, unknownPlan}).Draw(t, "plan"),
 		Customer: CustomerID(rapid.IntRange(0, 3).Draw(t, "customer")),
-		TimeLeft: rapid.SampledFrom([]time.Duration{longestUsualDeadline, longestUsualDeadline, time.Second, time.Second,
+		TimeLeft: rapid.SampledFrom([]time.Duration{maxRegularTimeLeft, maxRegularTimeLeft, time.Second, time.Second,
 			200 * time.Millisecond, 1, 0, -time.Second, 100 * 365 * 24 * time.Hour}).Draw(t, "time left"),
 		Units: rapid.SampledFrom([]float64{1, 1, 1, 2, 2, 3, 4, 0.25, 0.1, 0.7, 0, -1, math.NaN(), math.Inf(1), 1 << 40}).
 			Draw(t, "units"),
@@ -127,7 +129,7 @@
 	return func(m *modelGateway) { m.submit(request) }
 }
 
-// drawResult draws how an attempt ends. StatusTimedOut is left to the deadline.
+// drawResult draws the result of an attempt. StatusTimedOut is not drawn: it occurs at the deadline.
 func drawResult(t *rapid.T) AttemptResult {
 	return AttemptResult{
 		Status: rapid.SampledFrom([]Status{StatusOK, StatusOK, StatusServerError, StatusRejected, StatusConnectFailed,
@@ -139,7 +141,7 @@
 	}
 }
 
-func drawFinish(t *rapid.T) func(m *modelGateway) {
+func drawAttemptEnd(t *rapid.T) func(m *modelGateway) {
 	result, choice := drawResult(t), drawChoice(t)
 	return func(m *modelGateway) {
 		if attempt := m.chooseInFlight(choice); attempt != nil {
@@ -148,9 +150,9 @@
 	}
 }
 
-// drawDuplicate draws a result of an attempt that has ended or never was. Of a request whose client has disconnected
-// the engine takes any result for that of the last attempt, so there is none while that is in flight.
-func drawDuplicate(t *rapid.T) func(m *modelGateway) {
+// drawUnmatchedResult draws a result of an attempt that has ended or never existed. After a disconnect the engine takes
+// any result as that of the attempt in flight, so none is sent while there is one.
+func drawUnmatchedResult(t *rapid.T) func(m *modelGateway) {
 	result, choice := drawResult(t), drawChoice(t)
 	result.Attempt = rapid.IntRange(-1, 3).Draw(t, "attempt")
 	result.Endpoint = EndpointID(rapid.IntRange(0, 7).Draw(t, "endpoint"))
@@ -168,7 +170,7 @@
 	}
 }
 
-func drawStream(t *rapid.T) func(m *modelGateway) {
+func drawResponseStart(t *rapid.T) func(m *modelGateway) {
 	choice := drawChoice(t)
 	return func(m *modelGateway) {
 		if attempt := m.chooseInFlight(choice); attempt != nil {
@@ -192,10 +194,10 @@
 	list := rapid.SliceOfN(rapid.Custom(drawEndpoint), 0, 6).Draw(t, "endpoints")
 	return func(m *modelGateway) {
 		for _, r := range m.requests {
-			if attempt := r.inFlight(); attempt != nil && !r.closed() {
+			if attempt := r.inFlight(); attempt != nil && !r.answeredOrDisconnected() {
 				for _, ep := range list {
 					if ep.ID == attempt.endpoint.ID && ep.State != StateReady {
-						m.seen[drainedInFlight]++
+						m.occurrences[drainedDuringAttempt]++
 					}
 				}
 			}
@@ -205,7 +207,7 @@
 }
 
 func drawEndpoint(t *rapid.T) Endpoint {
-	ep := endpointNumbered(rapid.IntRange(1, 6).Draw(t, "id"))
+	ep := readyEndpoint(rapid.IntRange(1, 6).Draw(t, "id"))
 	ep.State = rapid.SampledFrom([]EndpointState{StateReady, StateReady, StateReady, StateDraining, StateRemoved}).
 		Draw(t, "state")
 	ep.Weight = rapid.SampledFrom([]float64{1, 1, 0.5, 0, -1, math.NaN(), math.Inf(1)}).Draw(t, "weight")
@@ -221,11 +223,11 @@
 		Request: RequestID(rapid.IntRange(0, 30).Draw(t, "request")),
 		Attempt: rapid.IntRange(-1, 3).Draw(t, "attempt"),
 	}
-	return func(m *modelGateway) { m.fire(timer) }
+	return func(m *modelGateway) { m.fireTimer(timer) }
 }
 
 func drawShutdown(t *rapid.T) func(m *modelGateway) {
-	begins := rapid.IntRange(0, 3).Draw(t, "begins") == 0 // seldom, for it ends what a scenario can still reach
+	begins := rapid.IntRange(0, 3).Draw(t, "begins") == 0 // rarely, since few situations can occur after it
 	wait := rapid.SampledFrom([]time.Duration{-time.Second, 0, 30 * time.Millisecond, time.Second}).Draw(t, "wait")
 	return func(m *modelGateway) {
 		if begins {
@@ -236,7 +238,7 @@
 
 func drawChoice(t *rapid.T) int { return rapid.IntRange(0, 19).Draw(t, "choice") }
 
-// chooseRequest returns one of the last requests, or nil.
+// chooseRequest returns one of the latest requests, or nil if there are none.
 func (m *modelGateway) chooseRequest(choice int) *modelRequest {
 	if len(m.requests) == 0 {
 		return nil
@@ -244,7 +246,7 @@
 	return m.requests[len(m.requests)-1-choice%len(m.requests)]
 }
 
-// chooseInFlight returns one of the attempts in flight, or nil.
+// chooseInFlight returns one of the attempts in flight, or nil if there are none.
 func (m *modelGateway) chooseInFlight(choice int) *modelAttempt {
 	var inFlight []*modelAttempt
 	for _, r := range m.requests {
--- a/policy/properties_test.go
+++ b/policy/properties_test.go
@@ -9,21 +9,21 @@
 	"pgregory.net/rapid"
 )
 
-// The checks of each property. They begin with a fixed seed, so that the verdict is the same in each run; flags such as
+// Default seed and number of checks of each property. The fixed seed makes the result the same in each run; the flags
 // -rapid.seed=0 and -rapid.checks=100000 search further.
 const (
 	propertySeed   = "20261202"
 	propertyChecks = "500"
 )
 
-// minOccurrences is how often each situation occurs over all scenarios at least.
+// minOccurrences is the minimum number of times that each situation must occur over all scenarios.
 const minOccurrences = 20
 
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{
 		"rapid.seed": propertySeed, "rapid.checks": propertyChecks, "rapid.nofailfile": "true",
 	} {
-		if err := flag.Set(name, value); err != nil { // before the flags of the command line, which win
+		if err := flag.Set(name, value); err != nil { // runs before flag parsing, so that the command line overrides it
 			panic(err)
 		}
 	}
@@ -31,46 +31,46 @@
 }
 
 // checkRule checks that no scenario breaks a rule.
-func checkRule(t *testing.T, checked rule) {
+func checkRule(t *testing.T, checkedRule rule) {
 	t.Helper()
 	rapid.Check(t, func(t *rapid.T) {
-		m := drawScenario(t).play(false)
-		if broken := m.broken[checked]; len(broken) > 0 {
-			t.Fatalf("broken: %s: %q\nactions: %+v", checked, broken, m.log)
+		m := drawScenario(t).run(false)
+		if violations := m.violations[checkedRule]; len(violations) > 0 {
+			t.Fatalf("violated rule: %s: %q\nactions: %+v", checkedRule, violations, m.log)
 		}
 	})
 }
 
-func TestEachRequestGetsOneAnswerInTime(t *testing.T)       { checkRule(t, ruleOneAnswer) }
-func TestOnlyReadyEndpointsGetRequests(t *testing.T)        { checkRule(t, ruleReadyEndpoint) }
-func TestNonIdempotentRequestIsNotRepeated(t *testing.T)    { checkRule(t, ruleNonIdempotent) }
-func TestDeduplicatedRequestStaysWithinItsKey(t *testing.T) { checkRule(t, ruleKeyScope) }
-func TestNoRejectionAfterPossibleExecution(t *testing.T)    { checkRule(t, ruleRejection) }
-func TestLimitsAreKept(t *testing.T)                        { checkRule(t, ruleLimits) }
-func TestInFlightUnitsReturnToZero(t *testing.T)            { checkRule(t, ruleRelease) }
+func TestEachRequestGetsOneAnswerInTime(t *testing.T)           { checkRule(t, ruleOneAnswer) }
+func TestOnlyReadyEndpointsGetRequests(t *testing.T)            { checkRule(t, ruleReadyEndpoint) }
+func TestNonIdempotentRequestIsNotRepeated(t *testing.T)        { checkRule(t, ruleNonIdempotent) }
+func TestDeduplicatedRequestIsRetriedWithinItsKey(t *testing.T) { checkRule(t, ruleKeyScope) }
+func TestNoRejectionAfterPossibleExecution(t *testing.T)        { checkRule(t, ruleRejection) }
+func TestConfiguredLimitsAreKept(t *testing.T)                  { checkRule(t, ruleLimits) }
+func TestInFlightUnitsReturnToZero(t *testing.T)                { checkRule(t, ruleInFlight) }
 
-// A gateway may drop a timer that is not pending: fired, it would lead to no other actions, then or later.
+// A gateway may drop timers that are not pending, so firing them must not change any action, then or later.
 func TestTimerThatIsNotPendingChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawScenario(t)
-		fired, dropped := s.play(false).log, s.play(true).log
+		fired, dropped := s.run(false).log, s.run(true).log
 		if !slices.Equal(fired, dropped) {
-			t.Fatalf("actions with all timers: %+v\nwith the pending ones alone: %+v", fired, dropped)
+			t.Fatalf("actions with all timers fired: %+v\nwith only pending timers fired: %+v", fired, dropped)
 		}
 	})
 }
 
-// The properties say nothing about situations that do not occur.
+// Guards against generators that no longer produce a situation, so that the properties would hold without testing it.
 func TestScenariosReachEachSituation(t *testing.T) {
 	total := map[situation]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		for situation, count := range drawScenario(t).play(false).seen {
+		for situation, count := range drawScenario(t).run(false).occurrences {
 			total[situation] += count
 		}
 	})
 	for _, situation := range situations {
 		if total[situation] < minOccurrences {
-			t.Errorf("%d times only: %s", total[situation], situation)
+			t.Errorf("too few occurrences (%d): %s", total[situation], situation)
 		}
 	}
 	t.Log(total)
