--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -10,53 +10,53 @@
 	"time"
 )
 
-// simulatedDay is one seeded day of a small simulated fleet. Its gateways meet bursts, faults, slow and
-// restarting endpoints, late usage readings, and a shutdown at the end.
-type simulatedDay struct {
-	name      string
-	seed      uint64
-	gateways  int
-	endpoints int
-	rate      float64 // requests a second over the fleet
-	greedy    bool    // all customers request more than their quotas
-	configure func(*Config)
-	want      string // SHA-256 of all actions, in order
+// fleetScenario configures one seeded run of a simulated fleet. Each run has bursts, faults, slow and restarting
+// endpoints, delayed usage readings, and a shutdown at the end.
+type fleetScenario struct {
+	name        string
+	seed        uint64
+	gateways    int
+	endpoints   int
+	requestRate float64 // requests/s of all clients
+	greedyOnly  bool    // only the four customers that exceed their quotas send requests
+	configure   func(*Config)
+	wantHash    string // SHA-256 of all actions in order
 }
 
-// simulatedFleet plays the endpoints, clients, usage meter and discovery to its gateways.
+// simulatedFleet simulates endpoints, clients, the usage meter and discovery for its gateways.
 type simulatedFleet struct {
-	day       simulatedDay
-	cfg       Config
-	rng       *rand.Rand
-	now       time.Duration
-	queue     eventQueue
-	gateways  []*simulatedGateway
-	endpoints []*simulatedEndpoint
-	nextID    RequestID
-	used      map[CustomerID]map[int64]float64 // units by metering period
-	hash      hash.Hash                        // of all actions
-	counts    map[string]int                   // of the actions
+	scenario     fleetScenario
+	cfg          Config
+	rng          *rand.Rand
+	now          time.Duration
+	queue        eventQueue
+	gateways     []*simulatedGateway
+	endpoints    []*simulatedEndpoint
+	nextID       RequestID
+	meteredUnits map[CustomerID]map[int64]float64 // units by second of the simulated time
+	actionHash   hash.Hash                        // hash of all actions
+	actionCounts map[string]int                   // number of actions, by name
 }
 
-// simulatedEndpoint is an endpoint that serves one request after another.
+// simulatedEndpoint is an endpoint whose requests wait for one another in a queue.
 type simulatedEndpoint struct {
 	Endpoint
-	slowdown  float64 // factor on its service time
-	busyUntil time.Duration
-	faulty    bool
+	slowdown  float64       // factor on the service time
+	busyUntil time.Duration // end of the queued work
+	faulty    bool          // fails a quarter of its attempts
 }
 
 // firstSimulatedID is the id of the first simulated endpoint.
 const firstSimulatedID = 100
 
-func newSimulatedFleet(day simulatedDay) *simulatedFleet {
+func newSimulatedFleet(scenario fleetScenario) *simulatedFleet {
 	cfg := testConfig()
-	cfg.GatewayCount = day.gateways
-	cfg.Classes[keyedClass].KeyScope = []KeyScope{KeyScopeFleet, KeyScopeZone, KeyScopeCell}[day.seed%3]
-	day.configure(&cfg)
-	fleet := &simulatedFleet{day: day, cfg: cfg, rng: rand.New(rand.NewPCG(day.seed, 0)), now: time.Hour,
-		used: map[CustomerID]map[int64]float64{}, hash: sha256.New(), counts: map[string]int{}}
-	for i := range day.endpoints {
+	cfg.GatewayCount = scenario.gateways
+	cfg.Classes[keyedClass].KeyScope = []KeyScope{KeyScopeFleet, KeyScopeZone, KeyScopeCell}[scenario.seed%3]
+	scenario.configure(&cfg)
+	fleet := &simulatedFleet{scenario: scenario, cfg: cfg, rng: rand.New(rand.NewPCG(scenario.seed, 0)), now: time.Hour,
+		meteredUnits: map[CustomerID]map[int64]float64{}, actionHash: sha256.New(), actionCounts: map[string]int{}}
+	for i := range scenario.endpoints {
 		fleet.endpoints = append(fleet.endpoints, &simulatedEndpoint{
 			slowdown: 0.5 + fleet.rng.Float64(),
 			faulty:   i%6 == 5,
@@ -64,8 +64,8 @@
 				Zone: i % 2, Cell: i % 3},
 		})
 	}
-	for i := range day.gateways {
-		cfg.GatewayIndex, cfg.Zone, cfg.Seed = i, i%2, day.seed*1000+uint64(i)
+	for i := range scenario.gateways {
+		cfg.GatewayIndex, cfg.Zone, cfg.Seed = i, i%2, scenario.seed*1000+uint64(i)
 		fleet.gateways = append(fleet.gateways, startSimulatedGateway(fleet, cfg))
 	}
 	return fleet
@@ -79,15 +79,15 @@
 	return list
 }
 
-func (f *simulatedFleet) after(delay time.Duration, run func()) {
+func (f *simulatedFleet) schedule(delay time.Duration, run func()) {
 	f.queue.add(f.now+max(0, delay), run)
 }
 
 func (f *simulatedFleet) run(length time.Duration) {
 	end := f.now + length
-	f.after(0, f.arrive)
-	f.after(2*time.Second, f.changeEndpoint)
-	f.after(length-time.Second, func() {
+	f.schedule(0, f.submitRandomRequest)
+	f.schedule(2*time.Second, f.changeEndpoint)
+	f.schedule(length-time.Second, func() {
 		for _, gateway := range f.gateways {
 			gateway.engine.BeginShutdown(f.now, f.now+700*time.Millisecond)
 		}
@@ -98,40 +98,42 @@
 	}
 }
 
-// arrive submits a request of a random customer and plans the next arrival. A third of the time is a burst.
-func (f *simulatedFleet) arrive() {
-	rate := f.day.rate
+// submitRandomRequest submits a request of a random customer and schedules the next one. The rate doubles for a third
+// of the time.
+func (f *simulatedFleet) submitRandomRequest() {
+	rate := f.scenario.requestRate
 	if int(f.now/time.Second)%6 >= 4 {
 		rate *= 2
 	}
-	f.after(time.Duration(f.rng.ExpFloat64()/rate*float64(time.Second)), f.arrive)
+	f.schedule(time.Duration(f.rng.ExpFloat64()/rate*float64(time.Second)), f.submitRandomRequest)
 	customer := f.rng.IntN(40)
-	if f.day.greedy || f.rng.IntN(3) == 0 {
-		customer = f.rng.IntN(4) // a greedy one
+	if f.scenario.greedyOnly || f.rng.IntN(3) == 0 {
+		customer = f.rng.IntN(4) // one of the four customers that exceed their quotas
 	}
-	setSize := 1 + customer%f.day.gateways
+	setSize := 1 + customer%f.scenario.gateways
 	f.nextID++
 	request := &simulatedRequest{inFlight: noAttempt, Request: Request{
 		ID:       f.nextID,
 		Class:    f.rng.IntN(len(f.cfg.Classes)),
-		Plan:     customer % 4, // the last one is unknown
+		Plan:     customer % 4, // plan 3 is not configured
 		Customer: CustomerID(customer),
 		Units:    float64(1 + f.rng.IntN(4)),
 		SetSize:  setSize,
 		SetFirst: customer,
 		TimeLeft: time.Duration(100+f.rng.IntN(1900)) * time.Millisecond,
 	}}
-	gateway := f.gateways[(customer+f.rng.IntN(setSize))%f.day.gateways]
+	gateway := f.gateways[(customer+f.rng.IntN(setSize))%f.scenario.gateways]
 	gateway.requests[request.ID] = request
 	if f.rng.IntN(25) == 0 {
-		f.after(time.Duration(f.rng.IntN(400))*time.Millisecond, func() { gateway.disconnect(request) })
+		f.schedule(time.Duration(f.rng.IntN(400))*time.Millisecond, func() { gateway.disconnect(request) })
 	}
 	gateway.engine.Submit(f.now, request.Request)
 }
 
-// changeEndpoint drains, removes, restarts or slows down an endpoint, and tells the gateways.
+// changeEndpoint drains, removes, restarts or slows down an endpoint, or sends the full list, and schedules the next
+// change. The update reaches the gateways with different delays.
 func (f *simulatedFleet) changeEndpoint() {
-	f.after(1500*time.Millisecond, f.changeEndpoint)
+	f.schedule(1500*time.Millisecond, f.changeEndpoint)
 	endpoint := f.endpoints[f.rng.IntN(len(f.endpoints))]
 	kind := UpdateDelta
 	switch f.rng.IntN(6) {
@@ -151,7 +153,7 @@
 		list = f.endpointList()
 	}
 	for i, gateway := range f.gateways {
-		f.after(time.Duration(50*(i%8))*time.Millisecond, func() {
+		f.schedule(time.Duration(50*(i%8))*time.Millisecond, func() {
 			if f.rng.IntN(10) == 0 {
 				gateway.engine.UpdateEndpoints(f.now, UpdateFailed, nil)
 			}
@@ -160,36 +162,39 @@
 	}
 }
 
-// record enters an action into the hash. The names of the actions are those at the time of the recording, and
-// with the form of the line they are part of what is hashed.
+// record adds an action to the hash. The action names and the line format are part of the recorded hashes, so that they
+// must not change.
 func (f *simulatedFleet) record(gateway *simulatedGateway, action string, values ...any) {
-	f.counts[action]++
-	_, _ = fmt.Fprintln(f.hash, int64(f.now), gateway.index, action, values) // a hash takes all that is written
+	f.actionCounts[action]++
+	_, _ = fmt.Fprintln(f.actionHash, int64(f.now), gateway.index, action, values) // writing to a hash never fails
 }
 
-func (f *simulatedFleet) actionsHash() string { return hex.EncodeToString(f.hash.Sum(nil)) }
+func (f *simulatedFleet) actionsHash() string { return hex.EncodeToString(f.actionHash.Sum(nil)) }
 
-// countUsage enters a forwarded request into the meter.
-func (f *simulatedFleet) countUsage(request *simulatedRequest) {
-	if f.used[request.Customer] == nil {
-		f.used[request.Customer] = map[int64]float64{}
+// recordUsage adds the units of a forwarded request to the metered usage of its customer.
+func (f *simulatedFleet) recordUsage(request *simulatedRequest) {
+	if f.meteredUnits[request.Customer] == nil {
+		f.meteredUnits[request.Customer] = map[int64]float64{}
 	}
-	f.used[request.Customer][int64(f.now/time.Second)] += request.Units
+	f.meteredUnits[request.Customer][int64(f.now/time.Second)] += request.Units
 }
 
-// usageReading is a customer's usage in the last period that the meter has added up, as a share of its quota.
+// usageReading returns the usage of the request's customer in the last period that the meter has evaluated, as a share
+// of its quota. It reports false if there is no meter or no quota.
 func (f *simulatedFleet) usageReading(request *simulatedRequest) (usage float64, ok bool) {
 	if f.cfg.MeterPeriod <= 0 || request.Plan >= len(f.cfg.Plans) || f.cfg.Plans[request.Plan].QuotaRate <= 0 {
 		return 0, false
 	}
 	period := int64((f.now-400*time.Millisecond)/f.cfg.MeterPeriod) - 1
-	units := f.used[request.Customer][period]
+	units := f.meteredUnits[request.Customer][period]
 	usage = units / f.cfg.MeterPeriod.Seconds() / f.cfg.Plans[request.Plan].QuotaRate
 	return math.Round(usage*100) / 100, true
 }
 
-// serve plays an attempt at an endpoint: how it ends, and after what time.
-func (f *simulatedFleet) serve(endpoint *simulatedEndpoint, units float64) (status Status, latency time.Duration) {
+// serveAttempt queues an attempt at an endpoint and returns how and after what time it ends.
+func (f *simulatedFleet) serveAttempt(
+	endpoint *simulatedEndpoint, units float64,
+) (status Status, latency time.Duration) {
 	work := time.Duration(endpoint.slowdown * units * (0.5 + f.rng.Float64()) * float64(10*time.Millisecond))
 	endpoint.busyUntil = max(endpoint.busyUntil, f.now) + work/2
 	wait := endpoint.busyUntil - f.now
@@ -200,7 +205,7 @@
 		faults := []Status{StatusServerError, StatusReset, StatusConnectFailed, StatusRejected}
 		return faults[draw%len(faults)], wait + work/2
 	case draw == 20:
-		return StatusOK, time.Hour // so it is silent
+		return StatusOK, time.Hour // an attempt that is never answered
 	case draw == 21:
 		return StatusNotSent, 0
 	}
--- a/policy/simulated_gateway_test.go
+++ b/policy/simulated_gateway_test.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// simulatedGateway is one gateway of a simulatedFleet. It carries out and records its engine's actions.
+// simulatedGateway is a gateway of a simulatedFleet. It implements Actions and records each of them.
 type simulatedGateway struct {
 	fleet    *simulatedFleet
 	index    int
 	engine   *Engine
-	requests map[RequestID]*simulatedRequest // those without their final answer
+	requests map[RequestID]*simulatedRequest // requests without a final answer
 }
 
-// simulatedRequest is a request with its attempt in flight.
+// simulatedRequest holds a request and its attempt in flight.
 type simulatedRequest struct {
 	Request
 	attempts int
@@ -19,6 +19,7 @@
 	sentAt   time.Duration
 }
 
+// noAttempt is the attempt number of a request without an attempt in flight.
 const noAttempt = -1
 
 func startSimulatedGateway(fleet *simulatedFleet, cfg Config) *simulatedGateway {
@@ -29,7 +30,7 @@
 	return gateway
 }
 
-// disconnect lets the client of a request close its connection.
+// disconnect tells the engine that the client has disconnected, unless the request has its final answer.
 func (g *simulatedGateway) disconnect(request *simulatedRequest) {
 	if g.requests[request.ID] == request {
 		g.engine.ClientDisconnected(g.fleet.now, request.ID)
@@ -37,7 +38,7 @@
 	}
 }
 
-// Forward lets the endpoint serve the attempt.
+// Forward starts an attempt at the endpoint and schedules its end. One in sixty successful responses is streamed.
 func (g *simulatedGateway) Forward(id RequestID, endpoint EndpointID, giveUpAt time.Duration) {
 	fleet := g.fleet
 	fleet.record(g, "send", id, endpoint, int64(giveUpAt))
@@ -46,19 +47,19 @@
 	request.attempts++
 	request.inFlight, request.endpoint, request.sentAt = attempt, endpoint, fleet.now
 	if attempt == 0 {
-		fleet.countUsage(request)
+		fleet.recordUsage(request)
 	}
-	status, latency := fleet.serve(fleet.endpoints[endpoint-firstSimulatedID], request.Units)
+	status, latency := fleet.serveAttempt(fleet.endpoints[endpoint-firstSimulatedID], request.Units)
 	if latency > giveUpAt-fleet.now {
 		status, latency = StatusTimedOut, giveUpAt-fleet.now
 	}
 	if draw := fleet.rng.IntN(60); draw == 0 && status == StatusOK {
-		fleet.after(latency/2, func() { g.engine.ResponseStarted(fleet.now, id, attempt, endpoint) })
+		fleet.schedule(latency/2, func() { g.engine.ResponseStarted(fleet.now, id, attempt, endpoint) })
 	}
-	fleet.after(latency, func() { g.finishAttempt(request, attempt, endpoint, status) })
+	fleet.schedule(latency, func() { g.finishAttempt(request, attempt, endpoint, status) })
 }
 
-// finishAttempt ends an attempt, unless it was cancelled meanwhile.
+// finishAttempt ends an attempt, unless it has ended already.
 func (g *simulatedGateway) finishAttempt(
 	request *simulatedRequest, attempt int, endpoint EndpointID, status Status,
 ) {
@@ -66,9 +67,9 @@
 		return
 	}
 	request.inFlight = noAttempt
-	open := g.requests[request.ID] == request
+	hasClient := g.requests[request.ID] == request
 	result := AttemptResult{Request: request.ID, Attempt: attempt, Endpoint: endpoint, Status: status,
-		Latency: g.fleet.now - request.sentAt, RequestDone: status == StatusOK || !open}
+		Latency: g.fleet.now - request.sentAt, RequestDone: status == StatusOK || !hasClient}
 	if status == StatusOK || status == StatusServerError || status == StatusRejected {
 		result.Usage, result.HasUsage = g.fleet.usageReading(request)
 	}
@@ -78,19 +79,19 @@
 	g.engine.AttemptFinished(g.fleet.now, result)
 }
 
-// Reject ends a request.
+// Reject gives a request its final answer.
 func (g *simulatedGateway) Reject(id RequestID, retryAfter time.Duration) {
 	g.fleet.record(g, "refuse", id, int64(retryAfter))
 	delete(g.requests, id)
 }
 
-// Fail ends a request.
+// Fail gives a request its final answer.
 func (g *simulatedGateway) Fail(id RequestID) {
 	g.fleet.record(g, "fail", id)
 	delete(g.requests, id)
 }
 
-// CancelAttempt ends an attempt. Its result follows as an event of its own.
+// CancelAttempt ends an attempt. Its result follows as a separate event.
 func (g *simulatedGateway) CancelAttempt(id RequestID, attempt int) {
 	g.fleet.record(g, "cancel", id, attempt)
 	request := g.requests[id]
@@ -98,14 +99,14 @@
 		return
 	}
 	endpoint := request.endpoint
-	g.fleet.after(0, func() { g.finishAttempt(request, attempt, endpoint, StatusCancelled) })
+	g.fleet.schedule(0, func() { g.finishAttempt(request, attempt, endpoint, StatusCancelled) })
 }
 
-// StartTimer plans a TimerFired event.
+// StartTimer schedules a TimerFired event.
 func (g *simulatedGateway) StartTimer(after time.Duration, timer Timer) {
 	g.fleet.record(g, "timer", int64(after))
-	g.fleet.after(after, func() { g.engine.TimerFired(g.fleet.now, timer) })
+	g.fleet.schedule(after, func() { g.engine.TimerFired(g.fleet.now, timer) })
 }
 
-// WatchEndpoints is recorded alone.
+// WatchEndpoints only records the action: list updates do not depend on it.
 func (g *simulatedGateway) WatchEndpoints(on bool) { g.fleet.record(g, "watch", on) }
