--- a/policy/properties_model_test.go
+++ b/policy/properties_model_test.go
@@ -37,7 +37,7 @@
 	requests          []*modelRequest         // in order of their ids, which start at 1
 	peakInFlightUnits float64                 // highest sum of units in flight so far
 	log               []action                // all actions of the engine
-	violations        map[rule][]string
+	violated          map[rule][]string
 	occurrences       map[situation]int
 }
 
@@ -71,10 +71,10 @@
 	status   Status
 }
 
-func newModelGateway(cfg Config, dropTimers bool) *modelGateway {
+func newModelGateway(cfg Config, dropStaleTimers bool) *modelGateway {
 	m := &modelGateway{
-		cfg: cfg, now: time.Hour, dropStaleTimers: dropTimers,
-		endpoints: map[EndpointID]Endpoint{}, violations: map[rule][]string{}, occurrences: map[situation]int{},
+		cfg: cfg, now: time.Hour, dropStaleTimers: dropStaleTimers,
+		endpoints: map[EndpointID]Endpoint{}, violated: map[rule][]string{}, occurrences: map[situation]int{},
 	}
 	m.engine = New(cfg, m)
 	m.engine.Start(m.now)
@@ -82,7 +82,7 @@
 }
 
 func (m *modelGateway) recordViolation(violated rule, format string, values ...any) {
-	m.violations[violated] = append(m.violations[violated], fmt.Sprintf("%v ", m.now)+fmt.Sprintf(format, values...))
+	m.violated[violated] = append(m.violated[violated], fmt.Sprintf("%v ", m.now)+fmt.Sprintf(format, values...))
 }
 
 func (m *modelGateway) record(called action) {
@@ -190,11 +190,11 @@
 	m.engine.UpdateEndpoints(m.now, kind, list)
 }
 
-func (m *modelGateway) shutDown(deadline time.Duration) {
+func (m *modelGateway) shutDown(shutdownDeadline time.Duration) {
 	if m.shutdownDeadline > 0 {
 		return
 	}
-	m.shutdownDeadline = max(m.now, deadline)
+	m.shutdownDeadline = max(m.now, shutdownDeadline)
 	for _, r := range m.requests {
 		if r.answeredOrDisconnected() {
 			continue
@@ -206,7 +206,7 @@
 			m.occurrences[shutdownWhileQueued]++
 		}
 	}
-	m.engine.BeginShutdown(m.now, deadline)
+	m.engine.BeginShutdown(m.now, shutdownDeadline)
 }
 
 func (m *modelGateway) fireTimer(timer Timer) {
--- a/policy/properties_scenario_test.go
+++ b/policy/properties_scenario_test.go
@@ -57,9 +57,9 @@
 	return scenario{cfg: drawConfig(t), steps: rapid.SliceOfN(rapid.Custom(drawStep), minSteps, maxSteps).Draw(t, "steps")}
 }
 
-// run runs the scenario and returns the gateway with the recorded actions and violations.
-func (s scenario) run(dropTimers bool) *modelGateway {
-	m := newModelGateway(s.cfg, dropTimers)
+// execute runs the scenario and returns the gateway with the recorded actions and violations.
+func (s scenario) execute(dropStaleTimers bool) *modelGateway {
+	m := newModelGateway(s.cfg, dropStaleTimers)
 	m.update(UpdateCached, readyEndpointsInZones(4))
 	for _, step := range s.steps {
 		m.advance(step.pause)
--- a/policy/properties_test.go
+++ b/policy/properties_test.go
@@ -34,9 +34,9 @@
 func checkRule(t *testing.T, checkedRule rule) {
 	t.Helper()
 	rapid.Check(t, func(t *rapid.T) {
-		m := drawScenario(t).run(false)
-		if violations := m.violations[checkedRule]; len(violations) > 0 {
-			t.Fatalf("violated rule: %s: %q\nactions: %+v", checkedRule, violations, m.log)
+		m := drawScenario(t).execute(false)
+		if violated := m.violated[checkedRule]; len(violated) > 0 {
+			t.Fatalf("violated rule: %s: %q\nactions: %+v", checkedRule, violated, m.log)
 		}
 	})
 }
@@ -53,7 +53,7 @@
 func TestTimerThatIsNotPendingChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawScenario(t)
-		fired, dropped := s.run(false).log, s.run(true).log
+		fired, dropped := s.execute(false).log, s.execute(true).log
 		if !slices.Equal(fired, dropped) {
 			t.Fatalf("actions with all timers fired: %+v\nwith only pending timers fired: %+v", fired, dropped)
 		}
@@ -64,7 +64,7 @@
 func TestScenariosReachEachSituation(t *testing.T) {
 	total := map[situation]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		for situation, count := range drawScenario(t).run(false).occurrences {
+		for situation, count := range drawScenario(t).execute(false).occurrences {
 			total[situation] += count
 		}
 	})
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -95,12 +95,12 @@
 	for _, test := range []struct {
 		usage, overQuotaCost float64
 		gateways             int
-		min, max             int // bounds on those forwarded of the twenty requests after the first
+		atLeast, atMost      int // bounds on those forwarded of the twenty requests after the first
 	}{
-		{usage: 0.3, overQuotaCost: 0.5, gateways: 160, min: 10, max: 20}, // 40 units in 4 s, quota 10 units/s
-		{usage: 2, overQuotaCost: 0.5, gateways: 160, min: 0, max: 8},
-		{usage: 0.3, overQuotaCost: 1.2, gateways: 160, min: 0, max: 4}, // overuse costs more than it would earn
-		{usage: 0.3, overQuotaCost: 0.5, gateways: 35, min: 0, max: 6},  // not sparse: burst share of 0.57 units
+		{usage: 0.3, overQuotaCost: 0.5, gateways: 160, atLeast: 10, atMost: 20}, // 40 units in 4 s, quota 10 units/s
+		{usage: 2, overQuotaCost: 0.5, gateways: 160, atLeast: 0, atMost: 8},
+		{usage: 0.3, overQuotaCost: 1.2, gateways: 160, atLeast: 0, atMost: 4}, // overuse costs more than it would earn
+		{usage: 0.3, overQuotaCost: 0.5, gateways: 35, atLeast: 0, atMost: 6},  // not sparse: burst share of 0.57 units
 	} {
 		cfg := testConfig()
 		cfg.GatewayCount, cfg.Plans[costlyPlan].OverQuotaCost = 160, test.overQuotaCost
@@ -114,7 +114,7 @@
 				gateway.finish(id, StatusOK, test.usage)
 			}
 		}
-		if forwarded := len(gateway.forwarded) - 1; forwarded < test.min || forwarded > test.max {
+		if forwarded := len(gateway.forwarded) - 1; forwarded < test.atLeast || forwarded > test.atMost {
 			t.Errorf("%+v: %d of 20 requests were forwarded", test, forwarded)
 		}
 	}
--- a/policy/simulated_fleet_test.go
+++ b/policy/simulated_fleet_test.go
@@ -34,7 +34,7 @@
 	endpoints    []*simulatedEndpoint
 	nextID       RequestID
 	meteredUnits map[CustomerID]map[int64]float64 // units by second of the simulated time
-	actionHash   hash.Hash                        // hash of all actions
+	hash         hash.Hash                        // hash of all actions
 	actionCounts map[string]int                   // number of actions, by name
 }
 
@@ -55,7 +55,7 @@
 	cfg.Classes[keyedClass].KeyScope = []KeyScope{KeyScopeFleet, KeyScopeZone, KeyScopeCell}[scenario.seed%3]
 	scenario.configure(&cfg)
 	fleet := &simulatedFleet{scenario: scenario, cfg: cfg, rng: rand.New(rand.NewPCG(scenario.seed, 0)), now: time.Hour,
-		meteredUnits: map[CustomerID]map[int64]float64{}, actionHash: sha256.New(), actionCounts: map[string]int{}}
+		meteredUnits: map[CustomerID]map[int64]float64{}, hash: sha256.New(), actionCounts: map[string]int{}}
 	for i := range scenario.endpoints {
 		fleet.endpoints = append(fleet.endpoints, &simulatedEndpoint{
 			slowdown: 0.5 + fleet.rng.Float64(),
@@ -79,15 +79,16 @@
 	return list
 }
 
-func (f *simulatedFleet) schedule(delay time.Duration, run func()) {
+// after schedules a call after the given delay.
+func (f *simulatedFleet) after(delay time.Duration, run func()) {
 	f.queue.add(f.now+max(0, delay), run)
 }
 
 func (f *simulatedFleet) run(length time.Duration) {
 	end := f.now + length
-	f.schedule(0, f.submitRandomRequest)
-	f.schedule(2*time.Second, f.changeEndpoint)
-	f.schedule(length-time.Second, func() {
+	f.after(0, f.submitRandomRequest)
+	f.after(2*time.Second, f.changeEndpoint)
+	f.after(length-time.Second, func() {
 		for _, gateway := range f.gateways {
 			gateway.engine.BeginShutdown(f.now, f.now+700*time.Millisecond)
 		}
@@ -101,11 +102,11 @@
 // submitRandomRequest submits a request of a random customer and schedules the next one. The rate doubles for a third
 // of the time.
 func (f *simulatedFleet) submitRandomRequest() {
-	rate := f.scenario.requestRate
+	requestRate := f.scenario.requestRate
 	if int(f.now/time.Second)%6 >= 4 {
-		rate *= 2
+		requestRate *= 2
 	}
-	f.schedule(time.Duration(f.rng.ExpFloat64()/rate*float64(time.Second)), f.submitRandomRequest)
+	f.after(time.Duration(f.rng.ExpFloat64()/requestRate*float64(time.Second)), f.submitRandomRequest)
 	customer := f.rng.IntN(40)
 	if f.scenario.greedyOnly || f.rng.IntN(3) == 0 {
 		customer = f.rng.IntN(4) // one of the four customers that exceed their quotas
@@ -125,7 +126,7 @@
 	gateway := f.gateways[(customer+f.rng.IntN(setSize))%f.scenario.gateways]
 	gateway.requests[request.ID] = request
 	if f.rng.IntN(25) == 0 {
-		f.schedule(time.Duration(f.rng.IntN(400))*time.Millisecond, func() { gateway.disconnect(request) })
+		f.after(time.Duration(f.rng.IntN(400))*time.Millisecond, func() { gateway.disconnect(request) })
 	}
 	gateway.engine.Submit(f.now, request.Request)
 }
@@ -133,7 +134,7 @@
 // changeEndpoint drains, removes, restarts or slows down an endpoint, or sends the full list, and schedules the next
 // change. The update reaches the gateways with different delays.
 func (f *simulatedFleet) changeEndpoint() {
-	f.schedule(1500*time.Millisecond, f.changeEndpoint)
+	f.after(1500*time.Millisecond, f.changeEndpoint)
 	endpoint := f.endpoints[f.rng.IntN(len(f.endpoints))]
 	kind := UpdateDelta
 	switch f.rng.IntN(6) {
@@ -153,7 +154,7 @@
 		list = f.endpointList()
 	}
 	for i, gateway := range f.gateways {
-		f.schedule(time.Duration(50*(i%8))*time.Millisecond, func() {
+		f.after(time.Duration(50*(i%8))*time.Millisecond, func() {
 			if f.rng.IntN(10) == 0 {
 				gateway.engine.UpdateEndpoints(f.now, UpdateFailed, nil)
 			}
@@ -166,10 +167,10 @@
 // must not change.
 func (f *simulatedFleet) record(gateway *simulatedGateway, action string, values ...any) {
 	f.actionCounts[action]++
-	_, _ = fmt.Fprintln(f.actionHash, int64(f.now), gateway.index, action, values) // writing to a hash never fails
+	_, _ = fmt.Fprintln(f.hash, int64(f.now), gateway.index, action, values) // writing to a hash never fails
 }
 
-func (f *simulatedFleet) actionsHash() string { return hex.EncodeToString(f.actionHash.Sum(nil)) }
+func (f *simulatedFleet) actionsHash() string { return hex.EncodeToString(f.hash.Sum(nil)) }
 
 // recordUsage adds the units of a forwarded request to the metered usage of its customer.
 func (f *simulatedFleet) recordUsage(request *simulatedRequest) {
--- a/policy/simulated_gateway_test.go
+++ b/policy/simulated_gateway_test.go
@@ -54,9 +54,9 @@
 		status, latency = StatusTimedOut, giveUpAt-fleet.now
 	}
 	if draw := fleet.rng.IntN(60); draw == 0 && status == StatusOK {
-		fleet.schedule(latency/2, func() { g.engine.ResponseStarted(fleet.now, id, attempt, endpoint) })
+		fleet.after(latency/2, func() { g.engine.ResponseStarted(fleet.now, id, attempt, endpoint) })
 	}
-	fleet.schedule(latency, func() { g.finishAttempt(request, attempt, endpoint, status) })
+	fleet.after(latency, func() { g.finishAttempt(request, attempt, endpoint, status) })
 }
 
 // finishAttempt ends an attempt, unless it has ended already.
@@ -99,13 +99,13 @@
 		return
 	}
 	endpoint := request.endpoint
-	g.fleet.schedule(0, func() { g.finishAttempt(request, attempt, endpoint, StatusCancelled) })
+	g.fleet.after(0, func() { g.finishAttempt(request, attempt, endpoint, StatusCancelled) })
 }
 
 // StartTimer schedules a TimerFired event.
 func (g *simulatedGateway) StartTimer(after time.Duration, timer Timer) {
 	g.fleet.record(g, "timer", int64(after))
-	g.fleet.schedule(after, func() { g.engine.TimerFired(g.fleet.now, timer) })
+	g.fleet.after(after, func() { g.engine.TimerFired(g.fleet.now, timer) })
 }
 
 // WatchEndpoints only records the action: list updates do not depend on it.
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -132,17 +132,17 @@
 		for _, gateways := range []int{3, 20, 30, 350, 900} {
 			fleet := newWarmingFleet(gateways, scenario.largeRequests)
 			fleet.run(scenario)
-			leastUsed := scenario.minBudgetUsed
+			minBudgetUsed := scenario.minBudgetUsed
 			switch { // a gateway's bucket starts to fill at its first request, which takes seconds to arrive
 			case gateways > 500:
-				leastUsed /= 15
+				minBudgetUsed /= 15
 			case gateways > 100:
-				leastUsed /= 5
+				minBudgetUsed /= 5
 			}
 			excess, used := fleet.worstExcess(), fleet.usedBudget()
-			if excess > 1 || used < leastUsed {
+			if excess > 1 || used < minBudgetUsed {
 				t.Errorf("%s, %d gateways: the worst window exceeds the budget by %.2f of the margin; "+
-					"%.2f of the budget used, want at least %.2f", scenario.name, gateways, excess, used, leastUsed)
+					"%.2f of the budget used, want at least %.2f", scenario.name, gateways, excess, used, minBudgetUsed)
 			} else {
 				t.Logf("%s, %d gateways: %.2f of the margin, %.2f of the budget used", scenario.name, gateways, excess, used)
 			}
--- a/policy/warming_fleet_test.go
+++ b/policy/warming_fleet_test.go
@@ -158,13 +158,13 @@
 	gateway := f.gateways[f.rng.IntN(f.receivingGateways)]
 	f.advance(gateway, f.now)
 	f.nextID++
-	units := f.meanUnits
+	requestUnits := f.meanUnits
 	if len(f.requestSizes) > 0 {
-		units = f.requestSizes[f.rng.IntN(len(f.requestSizes))]
+		requestUnits = f.requestSizes[f.rng.IntN(len(f.requestSizes))]
 	}
-	f.requestUnits[f.nextID] = units
+	f.requestUnits[f.nextID] = requestUnits
 	gateway.engine.Submit(f.now, Request{ID: f.nextID, Plan: unknownPlan, Customer: CustomerID(f.nextID),
-		TimeLeft: time.Second, Units: units, SetSize: 1})
+		TimeLeft: time.Second, Units: requestUnits, SetSize: 1})
 	f.recordAttempts(gateway)
 }
 
