--- a/policy/properties_model_test.go
+++ b/policy/properties_model_test.go
@@ -37,8 +37,8 @@
 	requests          []*modelRequest         // in order of their ids, which start at 1
 	peakInFlightUnits float64                 // highest sum of units in flight so far
 	log               []action                // all actions of the engine
-	violated          map[rule][]string
-	occurrences       map[situation]int
+	violated          map[rule][]string       // descriptions of the violations, by rule
+	occurrences       map[situation]int       // number of times that each situation occurred
 }
 
 // action records one call of Actions.
