--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Indexes of the classes and plans of config.
+// Indexes of the classes and plans in testConfig.
 const (
 	idempotentClass    = 0
 	keyedClass         = 1
 	nonIdempotentClass = 2
 
-	costlyPlan  = 0 // use over quota costs
-	softPlan    = 1 // use over quota still earns a part
-	ceilingPlan = 2 // costly, with a hard limit beside the quota
-	unknownPlan = 9 // not configured, and so without quotas
+	costlyPlan  = 0 // requests over quota cost a part of their value
+	softPlan    = 1 // requests over quota still earn a part of their value
+	ceilingPlan = 2 // like costlyPlan, with a ceiling in addition to the quota
+	unknownPlan = 9 // not configured, so that no quota applies
 )
 
-// noUsage stands for the usage of an answer that carries no reading.
+// noUsage is passed as the usage of an answer that carries no usage reading.
 const noUsage = -1
 
-// config is the configuration that most tests start from.
-func config() Config {
+// testConfig returns the configuration that most tests start from.
+func testConfig() Config {
 	return Config{
 		GatewayCount:    2,
 		Seed:            7,
@@ -53,40 +53,40 @@
 	}
 }
 
-// eventQueue orders events by time, and those of one time by when they were added.
-type eventQueue struct{ events []event }
+// eventQueue orders events by time. Events of the same time keep the order in which they were added.
+type eventQueue struct{ events []scheduledEvent }
 
-type event struct {
+type scheduledEvent struct {
 	at  time.Duration
 	run func()
 }
 
 func (q *eventQueue) add(at time.Duration, run func()) {
 	position := sort.Search(len(q.events), func(i int) bool { return q.events[i].at > at })
-	q.events = slices.Insert(q.events, position, event{at, run})
+	q.events = slices.Insert(q.events, position, scheduledEvent{at, run})
 }
 
-// popDue removes and returns the first event if its time has come by the given time.
-func (q *eventQueue) popDue(until time.Duration) (event, bool) {
+// popDue removes and returns the first event if it is due by the given time.
+func (q *eventQueue) popDue(until time.Duration) (scheduledEvent, bool) {
 	if len(q.events) == 0 || q.events[0].at > until {
-		return event{}, false
+		return scheduledEvent{}, false
 	}
 	first := q.events[0]
 	q.events = q.events[1:]
 	return first, true
 }
 
-// recorder is a gateway around an engine: it records the engine's actions and fires its timers.
-type recorder struct {
+// testGateway implements Actions for an engine: it records the engine's actions and fires its timers.
+type testGateway struct {
 	engine    *Engine
 	now       time.Duration
-	log       []string // all actions but the timers, as text
+	log       []string // all actions except timers, as text
 	forwarded []forwardedAttempt
 	rejected  []RequestID
 	failed    []RequestID
-	cancelled []RequestID // by attempt: a request may occur more than once
-	lastTimer Timer       // the one that was started last
-	queue     eventQueue  // the timers that have not fired
+	cancelled []RequestID // one entry per cancelled attempt
+	lastTimer Timer       // the timer that was started last
+	queue     eventQueue  // timers that have not fired
 }
 
 type forwardedAttempt struct {
@@ -95,24 +95,25 @@
 	at       time.Duration
 }
 
-// newRecorder returns a gateway whose engine starts at the given time and knows no endpoint.
-func newRecorder(cfg Config, now time.Duration) *recorder {
-	gateway := &recorder{now: now}
+// newTestGateway returns a gateway whose engine starts at the given time and knows no endpoint.
+func newTestGateway(cfg Config, now time.Duration) *testGateway {
+	gateway := &testGateway{now: now}
 	gateway.engine = New(cfg, gateway)
 	gateway.engine.Start(now)
 	return gateway
 }
 
-// start returns a gateway with warm endpoints 1 to count, all in zone 0 but the last.
-func start(cfg Config, count int) *recorder {
-	gateway := newRecorder(cfg, 0)
+// startTestGateway returns a gateway with the warm endpoints 1 to count. The last one is in zone 1,
+// the others in zone 0.
+func startTestGateway(cfg Config, count int) *testGateway {
+	gateway := newTestGateway(cfg, 0)
 	list := readyEndpoints(count)
 	list[count-1].Zone = 1
 	gateway.engine.UpdateEndpoints(0, UpdateCached, list)
 	return gateway
 }
 
-// readyEndpoints lists warm endpoints 1 to count.
+// readyEndpoints returns the warm endpoints 1 to count.
 func readyEndpoints(count int) []Endpoint {
 	var list []Endpoint
 	for id := 1; id <= count; id++ {
@@ -121,40 +122,40 @@
 	return list
 }
 
-func (r *recorder) record(format string, values ...any) {
+func (r *testGateway) record(format string, values ...any) {
 	r.log = append(r.log, fmt.Sprintf("%v ", r.now)+fmt.Sprintf(format, values...))
 }
 
-func (r *recorder) Forward(id RequestID, endpoint EndpointID, _ time.Duration) {
+func (r *testGateway) Forward(id RequestID, endpoint EndpointID, _ time.Duration) {
 	r.forwarded = append(r.forwarded, forwardedAttempt{id, endpoint, r.now})
 	r.record("forward %d to %d", id, endpoint)
 }
 
-func (r *recorder) Reject(id RequestID, _ time.Duration) {
+func (r *testGateway) Reject(id RequestID, _ time.Duration) {
 	r.rejected = append(r.rejected, id)
 	r.record("reject %d", id)
 }
 
-func (r *recorder) Fail(id RequestID) {
+func (r *testGateway) Fail(id RequestID) {
 	r.failed = append(r.failed, id)
 	r.record("fail %d", id)
 }
 
-func (r *recorder) CancelAttempt(id RequestID, attempt int) {
+func (r *testGateway) CancelAttempt(id RequestID, attempt int) {
 	r.cancelled = append(r.cancelled, id)
 	r.record("cancel %d attempt %d", id, attempt)
 }
 
-func (r *recorder) StartTimer(after time.Duration, timer Timer) {
+func (r *testGateway) StartTimer(after time.Duration, timer Timer) {
 	r.lastTimer = timer
 	at := r.now + after
 	r.queue.add(at, func() { r.engine.TimerFired(at, timer) })
 }
 
-func (r *recorder) WatchEndpoints(on bool) { r.record("watch %v", on) }
+func (r *testGateway) WatchEndpoints(on bool) { r.record("watch %v", on) }
 
 // advanceTo fires the timers that are due by the given time, in order.
-func (r *recorder) advanceTo(until time.Duration) {
+func (r *testGateway) advanceTo(until time.Duration) {
 	for due, ok := r.queue.popDue(until); ok; due, ok = r.queue.popDue(until) {
 		r.now = due.at
 		due.run()
@@ -162,26 +163,27 @@
 	r.now = until
 }
 
-// advance fires the timers that are due within the given time from now.
-func (r *recorder) advance(by time.Duration) { r.advanceTo(r.now + by) }
+// advance fires the timers that are due within the given duration from now.
+func (r *testGateway) advance(duration time.Duration) { r.advanceTo(r.now + duration) }
 
-// submit submits a request of the one customer that a plan has in most tests, which two gateways carry.
-func (r *recorder) submit(id RequestID, class, plan int, units float64) {
+// submit submits a request of the plan's only customer, whose requests are spread over two gateways.
+func (r *testGateway) submit(id RequestID, class, plan int, units float64) {
 	r.engine.Submit(r.now, Request{ID: id, Class: class, Plan: plan, Customer: CustomerID(plan + 1),
 		TimeLeft: 2 * time.Second, Units: units, SetSize: 2})
 }
 
-// submitSpread submits a request of a customer of plan 0 that is spread over so many gateways.
-func (r *recorder) submitSpread(id RequestID, units float64, gateways int) {
+// submitSpread submits a request of spreadCustomer in plan 0, whose requests are spread over the given number of
+// gateways.
+func (r *testGateway) submitSpread(id RequestID, units float64, gateways int) {
 	r.engine.Submit(r.now, Request{ID: id, Plan: 0, Customer: spreadCustomer,
 		TimeLeft: time.Second, Units: units, SetSize: gateways})
 }
 
-// spreadCustomer is the customer of submitSpread.
+// spreadCustomer is the customer whose requests submitSpread submits.
 const spreadCustomer CustomerID = 5
 
-// finish ends the latest attempt of a request after 50 ms.
-func (r *recorder) finish(id RequestID, status Status, usage float64) {
+// finish ends the latest attempt of a request with a latency of 50 ms.
+func (r *testGateway) finish(id RequestID, status Status, usage float64) {
 	result := AttemptResult{Request: id, Attempt: -1, Status: status, Latency: 50 * time.Millisecond,
 		RequestDone: status == StatusOK, HasUsage: usage >= 0, Usage: usage}
 	for _, attempt := range r.forwarded {
@@ -193,25 +195,25 @@
 	r.engine.AttemptFinished(r.now, result)
 }
 
-// finishFirst ends the first attempt of a request that needs no further one.
-func (r *recorder) finishFirst(id RequestID, endpoint EndpointID, status Status, latency time.Duration) {
+// finishFirstAttempt ends the first attempt of a request and marks the request as done.
+func (r *testGateway) finishFirstAttempt(id RequestID, endpoint EndpointID, status Status, latency time.Duration) {
 	r.engine.AttemptFinished(r.now, AttemptResult{Request: id, Endpoint: endpoint, Status: status,
 		Latency: latency, RequestDone: true})
 }
 
-// forwardedLast reports whether the latest attempt is one of the given request.
-func (r *recorder) forwardedLast(id RequestID) bool {
+// lastForwardedIs reports whether the latest attempt belongs to the given request.
+func (r *testGateway) lastForwardedIs(id RequestID) bool {
 	return len(r.forwarded) > 0 && r.lastForwarded().request == id
 }
 
-func (r *recorder) lastForwarded() forwardedAttempt { return r.forwarded[len(r.forwarded)-1] }
+func (r *testGateway) lastForwarded() forwardedAttempt { return r.forwarded[len(r.forwarded)-1] }
 
-// endpointOf returns the endpoint of the attempt with the given place in the order of forwarding.
-func (r *recorder) endpointOf(attempt int) *endpoint {
+// endpointOfAttempt returns the endpoint of the attempt with the given index in the order of forwarding.
+func (r *testGateway) endpointOfAttempt(attempt int) *endpoint {
 	return r.engine.endpoints[r.forwarded[attempt].endpoint]
 }
 
-// newRequest is a request of the idempotent class as the engine keeps it, for tests of single methods.
+// newRequest returns the engine's internal form of a request of the idempotent class, for tests of single methods.
 func newRequest(engine *Engine, units float64, c *customer) *request {
 	return &request{Request: Request{Units: units}, class: &engine.cfg.Classes[idempotentClass], customer: c}
 }
