--- a/cmd/springfield/demo.go
+++ b/cmd/springfield/demo.go
@@ -111,7 +111,7 @@
 		return nil
 	}
 	page := filepath.Join(c.Output, reportFile)
-	if err := writePage(page, []report.Named{{Name: demoName, Result: record.Result}}); err != nil {
+	if err := writePage(page, []report.NamedResult{{Name: demoName, Result: record.Result}}); err != nil {
 		return err
 	}
 	if err := writeResults(filepath.Join(c.Output, resultsFile), []experiment.Record{*record}); err != nil {
--- a/cmd/springfield/report.go
+++ b/cmd/springfield/report.go
@@ -100,7 +100,7 @@
 }
 
 // namedResults names each result by what distinguishes it from the others.
-func namedResults(records []experiment.Record) []report.Named {
+func namedResults(records []experiment.Record) []report.NamedResult {
 	parts := []func(*experiment.Record) string{
 		func(r *experiment.Record) string { return r.Experiment },
 		func(r *experiment.Record) string { return r.Decider },
@@ -112,7 +112,7 @@
 	parts = slices.DeleteFunc(parts, func(part func(*experiment.Record) string) bool {
 		return !slices.ContainsFunc(records, func(r experiment.Record) bool { return part(&r) != part(first) })
 	})
-	results := make([]report.Named, len(records))
+	results := make([]report.NamedResult, len(records))
 	for i := range records {
 		var names []string
 		for _, part := range parts {
@@ -121,12 +121,12 @@
 		if len(names) == 0 {
 			names = []string{records[i].Decider}
 		}
-		results[i] = report.Named{Name: strings.Join(names, ", "), Result: records[i].Result}
+		results[i] = report.NamedResult{Name: strings.Join(names, ", "), Result: records[i].Result}
 	}
 	return results
 }
 
-func (c *reportCommand) writePlots(env *environment, results []report.Named) error {
+func (c *reportCommand) writePlots(env *environment, results []report.NamedResult) error {
 	if err := os.MkdirAll(c.Plots, directoryMode); err != nil {
 		return &inputError{err}
 	}
--- a/cmd/springfield/results.go
+++ b/cmd/springfield/results.go
@@ -27,7 +27,7 @@
 }
 
 // writePage writes a report of results as an HTML page.
-func writePage(path string, results []report.Named) error {
+func writePage(path string, results []report.NamedResult) error {
 	return writeFile(path, func(w io.Writer) error { return report.WriteHTML(w, results) })
 }
 
--- a/cmd/springfield/soak.go
+++ b/cmd/springfield/soak.go
@@ -65,7 +65,7 @@
 	}
 	report := soak.NewReport()
 	var found []soak.Result
-	err = soak.Series(ctx, c.Seeds.first, c.Seeds.last, c.Parallel, run, func(result soak.Result) {
+	err = soak.RunSeeds(ctx, c.Seeds.first, c.Seeds.last, c.Parallel, run, func(result soak.Result) {
 		report.Add(result)
 		if len(result.Findings) > 0 {
 			found = append(found, result)
--- a/internal/report/figure.go
+++ b/internal/report/figure.go
@@ -7,8 +7,8 @@
 	"springfield/internal/measure"
 )
 
-// Named is a result under the name that the report shows.
-type Named struct {
+// NamedResult is a result under the name that the report shows.
+type NamedResult struct {
 	Name   string
 	Result measure.Result
 }
--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -66,7 +66,7 @@
 const maxColumns = 3
 
 // WriteHTML writes a page that shows the results side by side.
-func WriteHTML(w io.Writer, results []Named) error {
+func WriteHTML(w io.Writer, results []NamedResult) error {
 	if len(results) == 0 {
 		return ErrNoResults
 	}
@@ -84,7 +84,7 @@
 	return nil
 }
 
-func newPage(results []Named) (*page, error) {
+func newPage(results []NamedResult) (*page, error) {
 	content := &page{
 		Title:   "Springfield report: " + results[0].Result.Scenario,
 		Summary: summaryOf(results),
@@ -113,7 +113,7 @@
 }
 
 // row draws the figure of all results with the same axes.
-func (f *figure) row(results []Named) (figureRow, error) {
+func (f *figure) row(results []NamedResult) (figureRow, error) {
 	row := figureRow{Title: f.title, Caption: f.caption}
 	limits := f.boundsOf(results)
 	for i := range results {
--- a/internal/report/picture.go
+++ b/internal/report/picture.go
@@ -26,21 +26,21 @@
 )
 
 // WriteSVG writes one plot of a result as an SVG picture.
-func WriteSVG(w io.Writer, name Figure, result *Named) error {
+func WriteSVG(w io.Writer, name Figure, result *NamedResult) error {
 	return writePicture(w, name, result, "svg")
 }
 
 // WritePNG writes one plot of a result as a PNG picture.
-func WritePNG(w io.Writer, name Figure, result *Named) error {
+func WritePNG(w io.Writer, name Figure, result *NamedResult) error {
 	return writePicture(w, name, result, "png")
 }
 
-func writePicture(w io.Writer, name Figure, result *Named, format string) error {
+func writePicture(w io.Writer, name Figure, result *NamedResult, format string) error {
 	described, err := figureOf(name)
 	if err != nil {
 		return err
 	}
-	drawing, err := described.plot(&result.Result, described.boundsOf([]Named{*result}))
+	drawing, err := described.plot(&result.Result, described.boundsOf([]NamedResult{*result}))
 	if err != nil {
 		return err
 	}
--- a/internal/report/plot.go
+++ b/internal/report/plot.go
@@ -58,7 +58,7 @@
 }
 
 // boundsOf returns the bounds within which the plots of a figure have room for all results.
-func (f *figure) boundsOf(results []Named) bounds {
+func (f *figure) boundsOf(results []NamedResult) bounds {
 	limits := bounds{seconds: 1, top: 0}
 	for i := range results {
 		result := &results[i].Result
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -50,7 +50,7 @@
 	return recorder.Result(testStart + 8*time.Second)
 }
 
-func pageOf(t *testing.T, results ...Named) string {
+func pageOf(t *testing.T, results ...NamedResult) string {
 	t.Helper()
 	var buffer bytes.Buffer
 	if err := WriteHTML(&buffer, results); err != nil {
@@ -60,7 +60,7 @@
 }
 
 func TestPageShowsResultsSideBySide(t *testing.T) {
-	page := pageOf(t, Named{"first", recordedResult("basic")}, Named{"second", recordedResult("basic")})
+	page := pageOf(t, NamedResult{"first", recordedResult("basic")}, NamedResult{"second", recordedResult("basic")})
 	for _, want := range []string{"320 (80.0%)", "80 (20.0%)", "F1", "resets", "4 more", "end of the load"} {
 		if !strings.Contains(page, want) {
 			t.Errorf("page lacks %q", want)
@@ -72,7 +72,7 @@
 }
 
 func TestPageIsSelfContained(t *testing.T) {
-	page := pageOf(t, Named{"only", recordedResult("basic")})
+	page := pageOf(t, NamedResult{"only", recordedResult("basic")})
 	for _, forbidden := range []string{"<script", "<link", "<img", "@import", "url(", "src=", "<?xml", "<!DOCTYPE svg"} {
 		if strings.Contains(page, forbidden) {
 			t.Errorf("page contains %q", forbidden)
@@ -81,14 +81,14 @@
 }
 
 func TestNamesAreEscaped(t *testing.T) {
-	if page := pageOf(t, Named{hostileName, recordedResult(hostileName)}); strings.Contains(page, "<script") {
+	if page := pageOf(t, NamedResult{hostileName, recordedResult(hostileName)}); strings.Contains(page, "<script") {
 		t.Error("the page contains a name that is not escaped")
 	}
 }
 
 func TestPageOfSameResultsIsTheSame(t *testing.T) {
-	first := pageOf(t, Named{"same", recordedResult("basic")})
-	if second := pageOf(t, Named{"same", recordedResult("basic")}); first != second {
+	first := pageOf(t, NamedResult{"same", recordedResult("basic")})
+	if second := pageOf(t, NamedResult{"same", recordedResult("basic")}); first != second {
 		t.Error("got two different pages of equal results")
 	}
 }
@@ -96,7 +96,7 @@
 func TestResultWithoutRequests(t *testing.T) {
 	scenario := emulator.Scenario{Length: emulator.Duration(time.Second)}
 	empty := measure.NewRecorder(&scenario, testStart).Result(testStart)
-	pageOf(t, Named{"empty", empty}, Named{"zero", measure.Result{}})
+	pageOf(t, NamedResult{"empty", empty}, NamedResult{"zero", measure.Result{}})
 }
 
 func TestNoResults(t *testing.T) {
@@ -106,7 +106,7 @@
 }
 
 func TestPictures(t *testing.T) {
-	result := Named{"a & b", recordedResult("basic")}
+	result := NamedResult{"a & b", recordedResult("basic")}
 	for _, name := range Figures() {
 		var drawn, vector bytes.Buffer
 		if err := WritePNG(&drawn, name, &result); err != nil {
--- a/internal/report/summary.go
+++ b/internal/report/summary.go
@@ -21,7 +21,7 @@
 	value func(*measure.Result) string
 }
 
-func summaryOf(results []Named) []section {
+func summaryOf(results []NamedResult) []section {
 	return []section{
 		summarySection("Service", results, serviceFigures()),
 		summarySection("Requests", results, requestFigures()),
@@ -30,7 +30,7 @@
 	}
 }
 
-func summarySection(title string, results []Named, figures []summaryFigure) section {
+func summarySection(title string, results []NamedResult, figures []summaryFigure) section {
 	filled := section{Title: title}
 	for _, described := range figures {
 		row := summaryRow{Label: described.label, Note: described.note}
--- a/internal/soak/report_test.go
+++ b/internal/soak/report_test.go
@@ -38,7 +38,7 @@
 func TestSeries(t *testing.T) {
 	seen := map[uint64]int{}
 	run := func(_ context.Context, plan Plan) (Result, error) { return Result{Plan: plan}, nil }
-	if err := Series(t.Context(), 3, 9, 3, run, func(result Result) { seen[result.Plan.Seed]++ }); err != nil {
+	if err := RunSeeds(t.Context(), 3, 9, 3, run, func(result Result) { seen[result.Plan.Seed]++ }); err != nil {
 		t.Fatal(err)
 	}
 	for seed := uint64(3); seed <= 9; seed++ {
@@ -48,7 +48,7 @@
 	}
 	failed := errors.New("failed")
 	var runs atomic.Int32
-	err := Series(t.Context(), 1, 1_000_000, 2, func(context.Context, Plan) (Result, error) {
+	err := RunSeeds(t.Context(), 1, 1_000_000, 2, func(context.Context, Plan) (Result, error) {
 		runs.Add(1)
 		return Result{}, failed
 	}, func(Result) {})
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// Series runs a plan for each seed from first to last, a few at a time, and calls done after each run, one at a time.
+// RunSeeds runs a plan for each seed from first to last, a few at a time, and calls done after each run, one at a time.
 // It ends early with ctx or at the first run that cannot be carried out.
-func Series(ctx context.Context, first, last uint64, parallel int, run func(context.Context, Plan) (Result, error),
+func RunSeeds(ctx context.Context, first, last uint64, parallel int, run func(context.Context, Plan) (Result, error),
 	done func(Result)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
