--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -7,25 +7,25 @@
 	"slices"
 )
 
-// minPairs is the least number of pairs that have a confidence interval.
+// minPairs is the smallest number of pairs for which a confidence interval can be computed.
 const minPairs = 2
 
 // ErrNoRecords is returned when a side of a comparison has no records.
 var ErrNoRecords = errors.New("no records")
 
-// Side selects the records of one side of a comparison.
+// Side selects the records of one side of a comparison by the version of the program and the decider.
 type Side struct{ Version, Decider string }
 
 // String returns the decider and the version.
 func (s Side) String() string { return s.Decider + " of version " + s.Version }
 
-// Verdict says what a comparison of one metric has shown.
+// Verdict is the outcome of the comparison of one metric.
 type Verdict uint8
 
-// The verdicts. Better and Worse need a confidence interval without zero.
+// The verdicts. VerdictBetter and VerdictWorse require a confidence interval that excludes zero.
 const (
 	VerdictTooFewPairs Verdict = iota
-	VerdictSame                // no pair differs at all
+	VerdictSame                // the metric is equal in every pair
 	VerdictUnclear
 	VerdictBetter
 	VerdictWorse
@@ -49,45 +49,45 @@
 	}
 }
 
-// Comparison compares two sides by the records of the same size, seed and scenario.
+// Comparison compares two sides. It pairs the records of the same size, seed and scenario.
 type Comparison struct {
 	Experiment      string
 	Before, After   Side
 	Sizes           []SizeComparison
-	Unpaired        int // records of either side without a partner
-	ScenarioChanged int // of those, records whose partner ran another scenario
+	Unpaired        int // records of both sides that have no partner
+	ScenarioChanged int // unpaired records whose counterpart of the same size and seed ran another scenario
 }
 
 // SizeComparison compares the pairs of one size.
 type SizeComparison struct {
 	Size    float64
-	Seeds   []uint64 // of the pairs
+	Seeds   []uint64 // seeds of the pairs, in ascending order
 	Metrics []MetricComparison
 }
 
 // MetricComparison compares the pairs of one size by one metric.
 type MetricComparison struct {
 	Metric        Metric
-	Before, After float64  // means
-	Difference    Interval // after less before; Low and High equal Mean where there are too few pairs
+	Before, After float64  // means over the pairs
+	Difference    Interval // After minus Before; Low and High equal Mean if there are too few pairs
 	Verdict       Verdict
 }
 
-// Compare pairs the records of two sides by size and seed.
+// Compare pairs the records of two sides by size and seed, and compares the pairs of each size.
 func Compare(records []Record, experiment string, before, after Side) (Comparison, error) {
 	comparison := Comparison{Experiment: experiment, Before: before, After: after}
-	old, recent := selectSide(records, experiment, before), selectSide(records, experiment, after)
+	beforeRecords, afterRecords := recordsOfSide(records, experiment, before), recordsOfSide(records, experiment, after)
 	for _, side := range []struct {
 		name    Side
-		records map[runKey]*Record
-	}{{before, old}, {after, recent}} {
+		records map[pairKey]*Record
+	}{{before, beforeRecords}, {after, afterRecords}} {
 		if len(side.records) == 0 {
 			return comparison, fmt.Errorf("%w of experiment %s with %v", ErrNoRecords, experiment, side.name)
 		}
 	}
 	var pairs []recordPair
-	for key, record := range old {
-		partner, ok := recent[key]
+	for key, record := range beforeRecords {
+		partner, ok := afterRecords[key]
 		switch {
 		case !ok:
 			comparison.Unpaired++
@@ -98,8 +98,8 @@
 			pairs = append(pairs, recordPair{record, partner})
 		}
 	}
-	for key := range recent {
-		if _, ok := old[key]; !ok {
+	for key := range afterRecords {
+		if _, ok := beforeRecords[key]; !ok {
 			comparison.Unpaired++
 		}
 	}
@@ -107,26 +107,26 @@
 	return comparison, nil
 }
 
-// runKey is what the two records of a pair have in common.
-type runKey struct {
+// pairKey identifies a record within its side. The two records of a pair have equal keys.
+type pairKey struct {
 	size float64
 	seed uint64
 }
 
 type recordPair struct{ before, after *Record }
 
-func selectSide(records []Record, experiment string, side Side) map[runKey]*Record {
-	selected := make(map[runKey]*Record)
+func recordsOfSide(records []Record, experiment string, side Side) map[pairKey]*Record {
+	selected := make(map[pairKey]*Record)
 	for i := range records {
 		record := &records[i]
 		if record.Experiment == experiment && record.Version == side.Version && record.Decider == side.Decider {
-			selected[runKey{record.Size, record.Seed}] = record
+			selected[pairKey{record.Size, record.Seed}] = record
 		}
 	}
 	return selected
 }
 
-// compareSizes sorts the pairs, whose order must not depend on that of a map, and compares those of each size.
+// compareSizes compares the pairs of each size. It sorts the pairs first, because they come from a map in random order.
 func compareSizes(pairs []recordPair) []SizeComparison {
 	slices.SortFunc(pairs, func(a, b recordPair) int {
 		return cmp.Or(cmp.Compare(a.before.Size, b.before.Size), cmp.Compare(a.before.Seed, b.before.Seed))
@@ -167,14 +167,14 @@
 	}
 	if len(pairs) < minPairs {
 		result.Difference = Interval{Mean: differences[0], Low: differences[0], High: differences[0]}
-		return result // too few pairs
+		return result // the zero value of the verdict is VerdictTooFewPairs
 	}
 	result.Difference = meanInterval(differences)
-	result.Verdict = verdictOf(metric, differences, result.Difference)
+	result.Verdict = metricVerdict(metric, differences, result.Difference)
 	return result
 }
 
-func verdictOf(metric Metric, differences []float64, interval Interval) Verdict {
+func metricVerdict(metric Metric, differences []float64, interval Interval) Verdict {
 	switch {
 	case !slices.ContainsFunc(differences, func(d float64) bool { return d != 0 }):
 		return VerdictSame
--- a/internal/experiment/compare_test.go
+++ b/internal/experiment/compare_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-func TestStudentQuantilesMatchTheTables(t *testing.T) {
+// Guards against wrong quantiles of Student's t distribution, which would make the confidence intervals wrong.
+func TestStudentQuantileMatchesPublishedTables(t *testing.T) {
 	for _, c := range []struct{ probability, degrees, want float64 }{
 		{0.975, 1, 12.7062}, {0.975, 2, 4.3027}, {0.975, 4, 2.7764}, {0.975, 9, 2.2622}, {0.975, 30, 2.0423},
 		{0.975, 1000, 1.9623}, {0.95, 5, 2.0150}, {0.995, 10, 3.1693}, {0.5, 7, 0},
@@ -19,16 +20,17 @@
 	}
 }
 
-func TestMeanInterval(t *testing.T) {
+// Guards against a wrong mean, standard error or quantile in the confidence interval of a sample.
+func TestMeanIntervalMatchesManualCalculation(t *testing.T) {
 	// Mean 3, standard deviation sqrt(2.5), standard error sqrt(0.5), t of 4 degrees 2.77645.
 	got := meanInterval([]float64{1, 2, 3, 4, 5})
 	if math.Abs(got.Mean-3) > 1e-12 || math.Abs(got.Low-1.03676) > 1e-4 || math.Abs(got.High-4.96324) > 1e-4 {
-		t.Errorf("the interval is %+v", got)
+		t.Errorf("the interval is %+v, want 3 from 1.03676 to 4.96324", got)
 	}
 }
 
-// servedRecord returns a record with the given service.
-func servedRecord(version string, seed uint64, service float64) Record {
+// recordWithService returns a record with the given service and a latency proportional to it.
+func recordWithService(version string, seed uint64, service float64) Record {
 	record := Record{Experiment: "trial", Version: version, Decider: Springfield, Size: 3, Seed: seed, Scenario: "s"}
 	record.Result.Service.Whole = service
 	record.Result.Latency.P99 = 100 * service
@@ -37,23 +39,24 @@
 
 var oldSide, newSide = Side{"old", Springfield}, Side{"new", Springfield}
 
+// compareServices compares records with the given services, which have the seeds 0, 1, 2 and so on.
 func compareServices(t *testing.T, before, after []float64) SizeComparison {
 	t.Helper()
 	var records []Record
 	for i, service := range before {
-		records = append(records, servedRecord("old", uint64(i), service))
+		records = append(records, recordWithService("old", uint64(i), service))
 	}
 	for i, service := range after {
-		records = append(records, servedRecord("new", uint64(i), service))
+		records = append(records, recordWithService("new", uint64(i), service))
 	}
 	comparison, err := Compare(records, "trial", oldSide, newSide)
 	if err != nil || len(comparison.Sizes) != 1 {
-		t.Fatalf("%d sizes, error %v", len(comparison.Sizes), err)
+		t.Fatalf("%d sizes, error %v, want 1", len(comparison.Sizes), err)
 	}
 	return comparison.Sizes[0]
 }
 
-func verdictsOf(size SizeComparison) (service, latency Verdict) {
+func serviceAndLatencyVerdicts(size SizeComparison) (service, latency Verdict) {
 	for _, metric := range size.Metrics {
 		switch metric.Metric.Name {
 		case "service":
@@ -65,13 +68,15 @@
 	return service, latency
 }
 
-func TestVerdictsOfPairedComparisons(t *testing.T) {
+// Guards against verdicts from unpaired means, from noise or from a single pair, and against swapped verdicts for a
+// metric whose lower values are better.
+func TestVerdictUsesPairedDifferences(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		before, after    []float64
 		service, latency Verdict
 	}{
-		// The seeds differ by far more than the versions: only pairs show the difference.
+		// The values of the seeds differ by far more than those of the versions, so that only pairs show the difference.
 		{"paired gain", []float64{0.2, 0.5, 0.8, 0.4}, []float64{0.23, 0.54, 0.83, 0.44}, VerdictBetter, VerdictWorse},
 		{"paired loss", []float64{0.23, 0.54, 0.83}, []float64{0.2, 0.5, 0.8}, VerdictWorse, VerdictBetter},
 		{"noise", []float64{0.5, 0.6, 0.7}, []float64{0.6, 0.5, 0.7}, VerdictUnclear, VerdictUnclear},
@@ -79,7 +84,7 @@
 		{"one pair", []float64{0.5}, []float64{0.9}, VerdictTooFewPairs, VerdictTooFewPairs},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			service, latency := verdictsOf(compareServices(t, c.before, c.after))
+			service, latency := serviceAndLatencyVerdicts(compareServices(t, c.before, c.after))
 			if service != c.service || latency != c.latency {
 				t.Errorf("service is %v and latency %v, want %v and %v", service, latency, c.service, c.latency)
 			}
@@ -87,17 +92,19 @@
 	}
 }
 
-func TestOnlyEqualRunsArePaired(t *testing.T) {
-	changed := servedRecord("new", 2, 0.6)
+// Guards against pairs of records whose scenario differs, and against unpaired records that are not counted.
+func TestComparePairsOnlyEqualRuns(t *testing.T) {
+	changed := recordWithService("new", 2, 0.6)
 	changed.Scenario = "another"
-	records := []Record{servedRecord("old", 1, 0.5), servedRecord("old", 2, 0.5), servedRecord("old", 3, 0.5),
-		servedRecord("new", 1, 0.6), changed, servedRecord("new", 4, 0.6)}
+	records := []Record{recordWithService("old", 1, 0.5), recordWithService("old", 2, 0.5),
+		recordWithService("old", 3, 0.5), recordWithService("new", 1, 0.6), changed, recordWithService("new", 4, 0.6)}
 	comparison, err := Compare(records, "trial", oldSide, newSide)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if comparison.Unpaired != 4 || comparison.ScenarioChanged != 2 {
-		t.Errorf("%d unpaired, %d of another scenario, want 4 and 2", comparison.Unpaired, comparison.ScenarioChanged)
+		t.Errorf("%d unpaired records, %d of them with a changed scenario, want 4 and 2", comparison.Unpaired,
+			comparison.ScenarioChanged)
 	}
 	if len(comparison.Sizes) != 1 || len(comparison.Sizes[0].Seeds) != 1 || comparison.Sizes[0].Seeds[0] != 1 {
 		t.Errorf("pairs are %+v, want the one of seed 1", comparison.Sizes)
@@ -113,15 +120,18 @@
 	}
 }
 
-func TestComparisonWithoutRecordsSaysWhichAreMissing(t *testing.T) {
-	_, err := Compare([]Record{servedRecord("old", 1, 0.5)}, "trial", oldSide, newSide)
+// Guards against an error that does not tell which side has no records.
+func TestCompareNamesSideWithoutRecords(t *testing.T) {
+	_, err := Compare([]Record{recordWithService("old", 1, 0.5)}, "trial", oldSide, newSide)
 	if !errors.Is(err, ErrNoRecords) || !strings.Contains(err.Error(), "version new") {
-		t.Errorf("the error is %v", err)
+		t.Errorf("the error is %v, want ErrNoRecords with the version new", err)
 	}
 }
 
-func TestListHasALineForEachVersion(t *testing.T) {
-	records := []Record{servedRecord("old", 1, 0.5), servedRecord("new", 1, 0.6), servedRecord("old", 2, 0.7)}
+// Guards against records of different versions on one line, or records of one version on several lines.
+func TestWriteListHasOneLinePerVersion(t *testing.T) {
+	records := []Record{recordWithService("old", 1, 0.5), recordWithService("new", 1, 0.6),
+		recordWithService("old", 2, 0.7)}
 	var text bytes.Buffer
 	if err := WriteList(&text, records); err != nil {
 		t.Fatal(err)
@@ -129,6 +139,6 @@
 	lines := strings.Split(strings.TrimSpace(text.String()), "\n")
 	if len(lines) != 3 || !strings.Contains(lines[1], "0.6000") || !strings.Contains(lines[2], "0.6000") ||
 		!strings.HasPrefix(strings.Fields(lines[2])[4], "2") {
-		t.Errorf("the list is\n%s", text.String())
+		t.Errorf("want a line of one run and one of two runs, each with service 0.6000, got\n%s", text.String())
 	}
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment runs scenarios many times: several deciders, seeds and sizes, in parallel over the cores. It reads
-// experiment files, keeps results in a store so that an interrupted experiment resumes, and compares versions of the
-// policy, paired by seed.
+// Package experiment runs a scenario with several deciders, seeds and sizes, in parallel on all cores. It reads
+// experiment files, keeps results in a store so that an interrupted experiment can resume, and compares versions of the
+// policy by runs that are paired by size and seed.
 package experiment
 
 import (
@@ -16,49 +16,49 @@
 	"springfield/internal/measure"
 )
 
-// Form says in which world an experiment runs.
+// Form selects the kind of emulated deployment in which an experiment runs.
 type Form string
 
 // The forms of an experiment.
 const (
-	FormVirtual  Form = "virtual"  // discrete events in one process
-	FormLoopback Form = "loopback" // gateway processes on sockets of this machine, in real time
+	FormVirtual  Form = "virtual"  // discrete-event simulation in one process
+	FormLoopback Form = "loopback" // gateway processes on loopback sockets, in real time
 )
 
-// Springfield is the name of the decider that is this project's policy.
+// Springfield is the name of the decider that runs this project's policy.
 const Springfield = "springfield"
 
-// Experiment is what an experiment file describes.
+// Experiment holds the content of an experiment file.
 type Experiment struct {
 	Name         string            `toml:"name"`
 	Description  string            `toml:"description"`
 	Form         Form              `toml:"form"`
 	Deciders     []string          `toml:"deciders"`
 	Seeds        []uint64          `toml:"seeds"`
-	Workers      int               `toml:"workers"`       // runs at once, at most; 0: one for each core
-	ScenarioFile string            `toml:"scenario_file"` // relative to the experiment file; Scenario overrides its keys
+	Workers      int               `toml:"workers"`       // maximum number of concurrent runs; 0: one per core
+	ScenarioFile string            `toml:"scenario_file"` // relative to the experiment file; Scenario overrides it
 	Sweep        *Sweep            `toml:"sweep"`
 	Scenario     emulator.Scenario `toml:"scenario"`
 }
 
-// Run is one run of an experiment.
+// Run describes one run of an experiment.
 type Run struct {
 	Form     Form
 	Decider  string
 	Seed     uint64
-	Size     float64 // the swept value, or the number of gateways where nothing is swept
+	Size     float64 // swept value, or the number of gateways if there is no sweep
 	Scenario emulator.Scenario
 }
 
-// World carries out one run. It returns an error if the run could not be made or was interrupted; a broken rule is no
-// error.
+// World carries out one run. It returns an error if the run could not be carried out or was interrupted. A broken rule
+// is not an error: the report contains it.
 type World func(ctx context.Context, run Run) (measure.Result, invariant.Report, error)
 
-// Runs returns the runs of the experiment: by size, then by seed, then by decider, each in the order of the file.
+// Runs returns the runs of the experiment, ordered by size, seed and decider, each in the order of the file.
 func (e *Experiment) Runs() []Run {
 	var runs []Run
 	for _, size := range e.sizes() {
-		scenario := e.scenarioOf(size)
+		scenario := e.scenarioForSize(size)
 		for _, seed := range e.Seeds {
 			for _, decider := range e.Deciders {
 				runs = append(runs, Run{Form: e.Form, Decider: decider, Seed: seed, Size: size, Scenario: scenario})
@@ -75,8 +75,9 @@
 	return e.Sweep.Values
 }
 
-// scenarioOf returns a copy of the scenario at a size. Runs of a size share its slices, which nothing changes.
-func (e *Experiment) scenarioOf(size float64) emulator.Scenario {
+// scenarioForSize returns a copy of the scenario for one size. The runs of a size share the slices of the copy, which
+// are never modified.
+func (e *Experiment) scenarioForSize(size float64) emulator.Scenario {
 	scenario := e.Scenario
 	scenario.Classes = slices.Clone(scenario.Classes)
 	scenario.Plans = slices.Clone(scenario.Plans)
@@ -87,8 +88,9 @@
 	return scenario
 }
 
-// digest identifies what a run depends on besides its decider, its seed and the version of the program. The scenario's
-// name and description are left out.
+// digest returns a hash of the form and the scenario. Together with the decider, the seed and the version of the
+// program it identifies everything that a run depends on. The scenario's name and description are left out, so that
+// a change of them does not repeat the run.
 func (r *Run) digest() (string, error) {
 	scenario := r.Scenario
 	scenario.Name, scenario.Description = "", ""
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -13,7 +13,7 @@
 
 const experimentsDirectory = "../../experiments"
 
-// writeFiles writes a pair of experiment file and base scenario, and returns the path of the former.
+// writeFiles writes an experiment file and a base scenario, and returns the path of the experiment file.
 func writeFiles(t *testing.T, experiment, base string) string {
 	t.Helper()
 	directory := t.TempDir()
@@ -26,7 +26,7 @@
 	return path
 }
 
-// baseScenario is one of the deployments that the experiments use.
+// baseScenario returns the text of one of the deployments that the experiments of the repository use.
 func baseScenario(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(experimentsDirectory, "deployments", "small.toml"))
@@ -36,8 +36,8 @@
 	return string(text)
 }
 
-// absoluteBase is the absolute path of the same deployment.
-func absoluteBase(t *testing.T) string {
+// absoluteBasePath returns the absolute path of the file that baseScenario reads.
+func absoluteBasePath(t *testing.T) string {
 	t.Helper()
 	path, err := filepath.Abs(filepath.Join(experimentsDirectory, "deployments", "small.toml"))
 	if err != nil {
@@ -46,17 +46,18 @@
 	return path
 }
 
-const validHead = `name = "trial"
+const validHeader = `name = "trial"
 form = "virtual"
 deciders = ["springfield"]
 seeds = [1, 2]
 scenario_file = "base.toml"
 `
 
-func TestEachExperimentOfTheRepositoryIsValid(t *testing.T) {
+// Guards against experiment files of the repository that cannot be loaded or whose runs have an invalid scenario.
+func TestRepositoryExperimentsAreValid(t *testing.T) {
 	paths, err := filepath.Glob(filepath.Join(experimentsDirectory, "*.toml"))
 	if err != nil || len(paths) < 8 {
-		t.Fatalf("found %d experiments, error %v", len(paths), err)
+		t.Fatalf("found %d experiments, error %v, want at least 8", len(paths), err)
 	}
 	for _, path := range paths {
 		experiment, err := Load(path)
@@ -78,81 +79,84 @@
 	}
 }
 
-func TestFaultsOfAFileNameLineAndKey(t *testing.T) {
+// Guards against errors in an experiment file that are not detected, or are reported at the wrong line or key.
+func TestLoadReportsLineAndKeyOfErrors(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
-		want       []FileError // in order; only the base name of Path, and a part of Reason
+		want       []FileError // in order; Path is the base name, and Reason a part of the reason
 	}{
-		{"unknown key", validHead + "[scenario.clients]\nlaod = 0.5\n",
+		{"unknown key", validHeader + "[scenario.clients]\nlaod = 0.5\n",
 			[]FileError{{"experiment.toml", 7, "scenario.clients.laod", "unknown key"}}},
-		{"two unknown keys", "colour = 1\n" + validHead + "[speed]\nx = 1\n",
+		{"two unknown keys", "colour = 1\n" + validHeader + "[speed]\nx = 1\n",
 			[]FileError{{"experiment.toml", 1, "colour", "unknown key"}, {"experiment.toml", 7, "speed", "unknown key"}}},
-		{"wrong type", validHead + "[scenario]\ngateways = \"many\"\n",
+		{"wrong type", validHeader + "[scenario]\ngateways = \"many\"\n",
 			[]FileError{{"experiment.toml", 7, "scenario.gateways", "string"}}},
-		{"bad duration", validHead + "[scenario]\nlength = \"20\"\n",
+		{"bad duration", validHeader + "[scenario]\nlength = \"20\"\n",
 			[]FileError{{"experiment.toml", 7, "scenario.length", "want a number with a unit"}}},
-		{"no TOML", validHead + "[scenario\n", []FileError{{"experiment.toml", 6, "", ""}}},
+		{"invalid TOML", validHeader + "[scenario\n", []FileError{{"experiment.toml", 6, "", ""}}},
 		{"bad form and seeds", "name = \"trial\"\nform = \"real\"\ndeciders = [\"springfield\"]\nseeds = [1, 1]\n" +
 			"scenario_file = \"base.toml\"\n",
 			[]FileError{{"experiment.toml", 2, "form", "real"}, {"experiment.toml", 4, "seeds[1]", "twice"}}},
-		{"unknown decider", strings.Replace(validHead, "springfield", "shelbyville", 1),
+		{"unknown decider", strings.Replace(validHeader, "springfield", "shelbyville", 1),
 			[]FileError{{"experiment.toml", 3, "deciders[0]", "shelbyville"}}},
-		{"baseline over sockets", "form = \"loopback\"\n" + strings.Replace(strings.Replace(validHead,
+		{"baseline over sockets", "form = \"loopback\"\n" + strings.Replace(strings.Replace(validHeader,
 			"form = \"virtual\"\n", "", 1), "springfield", "even-split", 1),
 			[]FileError{{"experiment.toml", 3, "deciders[0]", "even-split"}}},
-		{"scenario value", validHead + "[scenario.clients]\nload = -1.0\n",
+		{"scenario value", validHeader + "[scenario.clients]\nload = -1.0\n",
 			[]FileError{{"experiment.toml", 7, "scenario.clients.load", "-1"}}},
-		{"fault", validHead + "[[scenario.faults]]\nkind = \"discovery_down\"\nlength = \"1s\"\n" +
+		{"fault kind", validHeader + "[[scenario.faults]]\nkind = \"discovery_down\"\nlength = \"1s\"\n" +
 			"[[scenario.faults]]\nkind = \"flood\"\n",
 			[]FileError{{"experiment.toml", 10, "scenario.faults[1].kind", "flood"}}},
-		{"sweep key", validHead + "[sweep]\nkey = \"colour\"\nvalues = [1]\n",
+		{"sweep key", validHeader + "[sweep]\nkey = \"colour\"\nvalues = [1]\n",
 			[]FileError{{"experiment.toml", 7, "sweep.key", "colour"}}},
-		{"sweep values", validHead + "[sweep]\nkey = \"gateways\"\nvalues = [1.5, 10, 10]\n",
+		{"sweep values", validHeader + "[sweep]\nkey = \"gateways\"\nvalues = [1.5, 10, 10]\n",
 			[]FileError{{"experiment.toml", 8, "sweep.values[0]", "1.5"}, {"experiment.toml", 8, "sweep.values[2]", "twice"}}},
-		{"no base file", strings.Replace(validHead, "base.toml", "none.toml", 1),
+		{"no base file", strings.Replace(validHeader, "base.toml", "none.toml", 1),
 			[]FileError{{"experiment.toml", 5, "scenario_file", "none.toml"}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Load(writeFiles(t, c.text, baseScenario(t)))
-			checkFaults(t, err, c.want)
+			checkFileErrors(t, err, c.want)
 		})
 	}
 }
 
-func TestFaultOfTheBaseNamesTheBase(t *testing.T) {
+// Guards against an error in the base file that is reported at a line of the experiment file.
+func TestLoadReportsErrorsOfBaseFile(t *testing.T) {
 	before, after, found := strings.Cut(baseScenario(t), "load = 0.6")
 	if !found {
-		t.Fatal("the base has another load")
+		t.Fatal("the base scenario does not contain load = 0.6")
 	}
 	base := before + "load = 0.0" + after
 	line := strings.Count(before, "\n") + 1
-	_, err := Load(writeFiles(t, validHead, base))
-	checkFaults(t, err, []FileError{{"base.toml", line, "clients.load", "0"}})
+	_, err := Load(writeFiles(t, validHeader, base))
+	checkFileErrors(t, err, []FileError{{"base.toml", line, "clients.load", "0"}})
 }
 
-func checkFaults(t *testing.T, err error, want []FileError) {
+func checkFileErrors(t *testing.T, err error, want []FileError) {
 	t.Helper()
-	faults := unjoin(err)
-	if len(faults) != len(want) {
-		t.Fatalf("%d faults, want %d: %v", len(faults), len(want), err)
+	errs := splitJoinedErrors(err)
+	if len(errs) != len(want) {
+		t.Fatalf("%d errors, want %d: %v", len(errs), len(want), err)
 	}
-	for i, fault := range faults {
+	for i, fileErr := range errs {
 		var got *FileError
-		if !errors.As(fault, &got) {
-			t.Fatalf("%v is no FileError", fault)
+		if !errors.As(fileErr, &got) {
+			t.Fatalf("%v is not a FileError", fileErr)
 		}
 		if filepath.Base(got.Path) != want[i].Path || got.Line != want[i].Line || got.Key != want[i].Key ||
 			!strings.Contains(got.Reason, want[i].Reason) {
-			t.Errorf("fault %d is %+v, want %+v", i, *got, want[i])
+			t.Errorf("error %d is %+v, want %+v", i, *got, want[i])
 		}
 		if text := got.Error(); !strings.Contains(text, got.Path) || !strings.Contains(text, got.Key) {
-			t.Errorf("the message %q leaves out path or key", text)
+			t.Errorf("the message %q lacks the path or the key", text)
 		}
 	}
 }
 
-func TestExperimentOverridesItsBase(t *testing.T) {
-	text := validHead + `[scenario.clients]
+// Guards against keys of the base scenario that win over the experiment file, and against arrays that mix both files.
+func TestExperimentOverridesBaseScenario(t *testing.T) {
+	text := validHeader + `[scenario.clients]
 load = 0.25
 [[scenario.plans]]
 name = "only"
@@ -167,7 +171,7 @@
 	}
 	scenario := experiment.Scenario
 	if scenario.Clients.Load != 0.25 || scenario.Clients.Retries != 2 {
-		t.Errorf("clients are %+v", scenario.Clients)
+		t.Errorf("clients are %+v, want load 0.25 and 2 retries", scenario.Clients)
 	}
 	if len(scenario.Plans) != 1 || scenario.Plans[0].Name != "only" || scenario.Plans[0].OverQuotaValue != 0 {
 		t.Errorf("plans are %+v, want those of the experiment alone", scenario.Plans)
@@ -175,7 +179,7 @@
 	if len(scenario.Classes) != 3 {
 		t.Errorf("%d classes, want the three of the base", len(scenario.Classes))
 	}
-	if again, err := Load(writeFiles(t, strings.Replace(text, "base.toml", absoluteBase(t), 1), "")); err != nil {
+	if again, err := Load(writeFiles(t, strings.Replace(text, "base.toml", absoluteBasePath(t), 1), "")); err != nil {
 		t.Errorf("with an absolute path: %v", err)
 	} else if !reflect.DeepEqual(again.Scenario, scenario) {
 		t.Error("with an absolute path the scenario differs")
@@ -185,8 +189,9 @@
 	}
 }
 
+// Guards against a sweep that changes the ratio of endpoints to gateways, or the scenario of the experiment itself.
 func TestSweepScalesEndpointsWithGateways(t *testing.T) {
-	text := validHead + "[sweep]\nkey = \"gateways\"\nvalues = [6, 48]\n"
+	text := validHeader + "[sweep]\nkey = \"gateways\"\nvalues = [6, 48]\n"
 	experiment, err := Load(writeFiles(t, text, baseScenario(t)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -13,15 +13,15 @@
 	"springfield/internal/emulator"
 )
 
-// FileError is one fault of an experiment or scenario file.
+// FileError is one error in an experiment or scenario file.
 type FileError struct {
 	Path   string
-	Line   int    // from 1; 0 if the fault has no line
-	Key    string // in full, such as "scenario.classes[1].share"; "" if the fault has none
+	Line   int    // 1 is the first line; 0 if the error has no line
+	Key    string // full key, such as "scenario.classes[1].share"; "" if the error has none
 	Reason string
 }
 
-// Error implements error: the place as compilers write it, then the key and the reason.
+// Error implements error. The text has the form "path:line: key: reason", as in the messages of compilers.
 func (e *FileError) Error() string {
 	var text strings.Builder
 	text.WriteString(e.Path)
@@ -34,8 +34,8 @@
 	return text.String() + ": " + e.Reason
 }
 
-// Load reads an experiment file. Keys that it does not know are errors. If the file itself can be read, the error joins
-// a *FileError for each fault.
+// Load reads and validates an experiment file. Unknown keys are errors. If the file itself can be read, the returned
+// error joins a *FileError for each error in it.
 func Load(path string) (*Experiment, error) {
 	document, err := readDocument(path)
 	if err != nil {
@@ -47,20 +47,20 @@
 	}
 	base := &tomlDocument{}
 	if experiment.ScenarioFile != "" {
-		if experiment, base, err = document.overBase(experiment.ScenarioFile); err != nil {
+		if experiment, base, err = document.decodeOverBase(experiment.ScenarioFile); err != nil {
 			return nil, err
 		}
 	}
 	if experiment.Scenario.Name == "" {
 		experiment.Scenario.Name = experiment.Name
 	}
-	if faults := experiment.validate(); len(faults) > 0 {
-		return nil, locate(faults, document, base)
+	if keyErrs := experiment.validate(); len(keyErrs) > 0 {
+		return nil, locateErrors(keyErrs, document, base)
 	}
 	return experiment, nil
 }
 
-// tomlDocument is a file that has been read.
+// tomlDocument holds the text of a TOML file and the lines of its keys.
 type tomlDocument struct {
 	path  string
 	text  []byte
@@ -70,28 +70,28 @@
 func readDocument(path string) (*tomlDocument, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, err // names the path
+		return nil, err // the error of os.ReadFile contains the path
 	}
 	return &tomlDocument{path: path, text: text, lines: findKeyLines(text)}, nil
 }
 
-// overBase decodes the document once more, over the scenario of another file. Arrays of the document replace those of
-// the other file.
-func (d *tomlDocument) overBase(file string) (*Experiment, *tomlDocument, error) {
+// decodeOverBase decodes the document again, on top of the scenario of another file. Arrays of the document replace
+// those of the other file.
+func (d *tomlDocument) decodeOverBase(file string) (*Experiment, *tomlDocument, error) {
 	path := file
 	if !filepath.IsAbs(file) {
 		path = filepath.Join(filepath.Dir(d.path), file)
 	}
 	base, err := readDocument(path)
 	if err != nil {
-		return nil, nil, &FileError{Path: d.path, Line: d.lines.of("scenario_file"), Key: "scenario_file",
+		return nil, nil, &FileError{Path: d.path, Line: d.lines.lineOf("scenario_file"), Key: "scenario_file",
 			Reason: err.Error()}
 	}
 	var scenario emulator.Scenario
 	if err := base.decode(&scenario); err != nil {
 		return nil, nil, err
 	}
-	d.clearReplaced(&scenario)
+	d.clearReplacedArrays(&scenario)
 	experiment := &Experiment{Scenario: scenario}
 	if err := d.decode(experiment); err != nil {
 		return nil, nil, err
@@ -99,8 +99,9 @@
 	return experiment, base, nil
 }
 
-// clearReplaced drops the arrays that the document has too, so that no field of their elements lives on.
-func (d *tomlDocument) clearReplaced(scenario *emulator.Scenario) {
+// clearReplacedArrays removes the arrays that the document sets, too. Otherwise decoding would keep fields of the old
+// elements.
+func (d *tomlDocument) clearReplacedArrays(scenario *emulator.Scenario) {
 	if _, ok := d.lines["scenario.classes"]; ok {
 		scenario.Classes = nil
 	}
@@ -112,7 +113,7 @@
 	}
 }
 
-// decode decodes the document strictly. Its errors are *FileError, joined if there are several.
+// decode decodes the document and rejects unknown keys. Errors are of type *FileError, joined if there are several.
 func (d *tomlDocument) decode(target any) error {
 	err := toml.NewDecoder(bytes.NewReader(d.text)).DisallowUnknownFields().Decode(target)
 	var unknown *toml.StrictMissingError
@@ -121,34 +122,34 @@
 	case err == nil:
 		return nil
 	case errors.As(err, &unknown):
-		faults := make([]error, len(unknown.Errors))
+		errs := make([]error, len(unknown.Errors))
 		for i := range unknown.Errors {
-			fault := &unknown.Errors[i]
-			line, _ := fault.Position()
-			faults[i] = &FileError{Path: d.path, Line: line, Key: strings.Join(fault.Key(), "."), Reason: "unknown key"}
+			keyErr := &unknown.Errors[i]
+			line, _ := keyErr.Position()
+			errs[i] = &FileError{Path: d.path, Line: line, Key: strings.Join(keyErr.Key(), "."), Reason: "unknown key"}
 		}
-		return errors.Join(faults...)
+		return errors.Join(errs...)
 	case errors.As(err, &malformed):
 		line, _ := malformed.Position()
-		return &FileError{Path: d.path, Line: line, Key: d.lines.at(line),
+		return &FileError{Path: d.path, Line: line, Key: d.lines.keyAt(line),
 			Reason: strings.TrimPrefix(malformed.Error(), "toml: ")}
 	default:
 		return &FileError{Path: d.path, Reason: strings.TrimPrefix(err.Error(), "toml: ")}
 	}
 }
 
-// locate gives each fault its file and line. A key of the scenario that the experiment file does not have is looked up
-// in the base.
-func locate(faults []keyFault, document, base *tomlDocument) error {
-	located := make([]error, len(faults))
-	for i, fault := range faults {
-		place, key := document, fault.key
-		_, own := document.lines[key]
-		inner, inScenario := strings.CutPrefix(key, scenarioKey)
-		if !own && inScenario && base.lines.of(inner) > 0 {
-			place, key = base, inner
+// locateErrors adds the file and the line to each error. A scenario key that the experiment file does not contain is
+// looked up in the base file.
+func locateErrors(keyErrs []keyError, document, base *tomlDocument) error {
+	errs := make([]error, len(keyErrs))
+	for i, keyErr := range keyErrs {
+		source, key := document, keyErr.key
+		_, inDocument := document.lines[key]
+		baseKey, inScenario := strings.CutPrefix(key, scenarioPrefix)
+		if !inDocument && inScenario && base.lines.lineOf(baseKey) > 0 {
+			source, key = base, baseKey
 		}
-		located[i] = &FileError{Path: place.path, Line: place.lines.of(key), Key: key, Reason: fault.reason}
+		errs[i] = &FileError{Path: source.path, Line: source.lines.lineOf(key), Key: key, Reason: keyErr.reason}
 	}
-	return errors.Join(located...)
+	return errors.Join(errs...)
 }
--- a/internal/experiment/lines.go
+++ b/internal/experiment/key_lines.go
@@ -10,9 +10,9 @@
 // keyLines maps the full keys of a TOML document, such as "scenario.classes[1].share", to their lines.
 type keyLines map[string]int
 
-// findKeyLines reads a document as far as it can be parsed.
+// findKeyLines returns the lines of the keys of a document, up to its first syntax error.
 func findKeyLines(document []byte) keyLines {
-	finder := lineFinder{lines: keyLines{}, elements: map[string]int{}}
+	finder := lineFinder{lines: keyLines{}, elementCounts: map[string]int{}}
 	finder.parser.Reset(document)
 	for finder.parser.NextExpression() {
 		expression := finder.parser.Expression()
@@ -28,8 +28,9 @@
 	return finder.lines
 }
 
-// of returns the line of a key, or else of the table that it belongs in. It returns 0 if the document has neither.
-func (k keyLines) of(key string) int {
+// lineOf returns the line of a key. If the document does not contain the key, it returns the line of the nearest
+// enclosing table, or 0 if there is none.
+func (k keyLines) lineOf(key string) int {
 	for key != "" {
 		if line, ok := k[key]; ok {
 			return line
@@ -39,11 +40,12 @@
 	return 0
 }
 
-// at returns the key on a line, the longest if there are several, or "".
-func (k keyLines) at(line int) string {
+// keyAt returns the longest key on a line, or "" if the line has none. Of several longest keys it returns the first in
+// alphabetical order.
+func (k keyLines) keyAt(line int) string {
 	var found string
-	for key, its := range k {
-		if its == line && (len(key) > len(found) || len(key) == len(found) && key < found) {
+	for key, keyLine := range k {
+		if keyLine == line && (len(key) > len(found) || len(key) == len(found) && key < found) {
 			found = key
 		}
 	}
@@ -52,14 +54,14 @@
 
 // lineFinder is the state of findKeyLines.
 type lineFinder struct {
-	parser   unstable.Parser
-	lines    keyLines
-	table    string         // the full key of the present table
-	elements map[string]int // how many elements each array of tables has so far
+	parser        unstable.Parser
+	lines         keyLines
+	table         string         // full key of the current table
+	elementCounts map[string]int // number of elements of each array of tables so far
 }
 
-// add notes the key of a table or value under its parent and returns the full key. A table may lie within the last
-// element of an array of tables.
+// add records the line of a table or value under its parent and returns the full key. A key that leads through an array
+// of tables refers to the last element of that array.
 func (f *lineFinder) add(parent string, node *unstable.Node) string {
 	key, line := parent, 0
 	for parts := node.Key(); parts.Next(); {
@@ -71,27 +73,30 @@
 	return key
 }
 
+// addElement records the next element of an array of tables and returns its full key.
 func (f *lineFinder) addElement(node *unstable.Node) string {
 	array := f.add("", node)
-	element := fmt.Sprintf("%s[%d]", array, f.elements[array])
+	element := fmt.Sprintf("%s[%d]", array, f.elementCounts[array])
 	f.lines[element] = f.lines[array]
-	f.elements[array]++
+	f.elementCounts[array]++
 	return element
 }
 
+// lastElement returns the key of the last element if key is an array of tables, and otherwise key itself.
 func (f *lineFinder) lastElement(key string) string {
-	if count := f.elements[key]; count > 0 {
+	if count := f.elementCounts[key]; count > 0 {
 		return fmt.Sprintf("%s[%d]", key, count-1)
 	}
 	return key
 }
 
-// addValue notes a key and, below it, those of inline tables.
+// addValue records a key and the keys of inline tables in its value.
 func (f *lineFinder) addValue(parent string, node *unstable.Node) {
 	key := f.add(parent, node)
 	f.addInline(key, f.lines[key], node.Value())
 }
 
+// addInline records the keys within a value: those of inline tables and the elements of arrays.
 func (f *lineFinder) addInline(key string, line int, value *unstable.Node) {
 	switch value.Kind {
 	case unstable.InlineTable:
--- a/internal/experiment/loopback.go
+++ b/internal/experiment/loopback.go
@@ -15,10 +15,10 @@
 	"springfield/internal/measure"
 )
 
-// LoopbackOptions say how the gateway processes of loopback runs are started. Virtual runs need none of them.
+// LoopbackOptions configure the gateway processes of loopback runs. Virtual runs do not use them.
 type LoopbackOptions struct {
-	Gateway     string       // path of the gateway's program
-	GatewayArgs []string     // its arguments, none as a rule
+	Gateway     string       // path of the gateway program
+	GatewayArgs []string     // arguments of the gateway program, usually none
 	Directory   string       // for configurations and logs; "": a temporary directory, removed after each run
 	Logger      *slog.Logger // nil: slog.Default()
 }
@@ -32,16 +32,16 @@
 type ProcessError struct {
 	Crashes         int
 	NotReady        int
-	UnknownRequests int64 // sent to endpoints by no client
+	UnknownRequests int64 // requests at endpoints that no client had sent
 }
 
-// Error counts the failures.
+// Error returns the number of failures of each kind.
 func (e *ProcessError) Error() string {
 	return fmt.Sprintf("%d gateway processes crashed, %d were not ready in time, %d unknown requests reached endpoints",
 		e.Crashes, e.NotReady, e.UnknownRequests)
 }
 
-// newLoopbackWorld returns the World of gateway processes on sockets.
+// newLoopbackWorld returns a World that runs gateway processes on loopback sockets.
 func newLoopbackWorld(options LoopbackOptions) World {
 	return func(ctx context.Context, run Run) (result measure.Result, report invariant.Report, err error) {
 		if run.Decider != Springfield {
@@ -68,13 +68,13 @@
 		})
 		end := time.Duration(time.Now().UnixNano())
 		result, report = recorder.Result(end), checker.Finish(end)
-		return result, report, loopbackError(&summary, report, runErr)
+		return result, report, loopbackRunError(&summary, report, runErr)
 	}
 }
 
-// loopbackError returns why a run has no valid result. Requests that are never answered are a result, as the report
-// shows that they broke a rule.
-func loopbackError(summary *loopback.Summary, report invariant.Report, err error) error {
+// loopbackRunError returns the reason why a run has no valid result, or nil if it has one. Unanswered requests do not
+// invalidate a run whose report contains a broken rule, because the report shows them.
+func loopbackRunError(summary *loopback.Summary, report invariant.Report, err error) error {
 	switch {
 	case summary.GatewayCrashes > 0 || summary.ReadinessTimeouts > 0 || summary.UnknownRequests > 0:
 		failure := &ProcessError{Crashes: summary.GatewayCrashes, NotReady: summary.ReadinessTimeouts,
@@ -87,7 +87,8 @@
 	}
 }
 
-// runDirectory makes the directory of a run and returns a function that removes it if nobody has asked for it.
+// runDirectory creates the directory of a run. The returned function removes a temporary directory and keeps one in
+// parent.
 func runDirectory(parent string, run Run) (directory string, remove func(), err error) {
 	if parent != "" {
 		name := fmt.Sprintf("%s-size%g-seed%d", run.Scenario.Name, run.Size, run.Seed)
@@ -95,5 +96,5 @@
 		return directory, func() {}, os.MkdirAll(directory, directoryMode)
 	}
 	directory, err = os.MkdirTemp("", "springfield-experiment-")
-	return directory, func() { _ = os.RemoveAll(directory) }, err // what is left over lies in the temporary directory
+	return directory, func() { _ = os.RemoveAll(directory) }, err // a failure leaves files only in os.TempDir
 }
--- a/internal/experiment/loopback_test.go
+++ b/internal/experiment/loopback_test.go
@@ -9,7 +9,8 @@
 	"springfield/internal/emulator/loopback"
 )
 
-func TestWhatInvalidatesALoopbackRun(t *testing.T) {
+// Guards against results of runs in which gateway processes failed, and against the loss of runs that broke a rule.
+func TestProcessFailuresInvalidateLoopbackRun(t *testing.T) {
 	kept := invariant.Report{}
 	broken := invariant.Report{Violations: []invariant.RuleReport{{Rule: invariant.RuleFinalAnswer, Count: 1}}}
 	for _, c := range []struct {
@@ -19,22 +20,23 @@
 		err     error
 		valid   bool
 	}{
-		{"all is well", loopback.Summary{}, kept, nil, true},
+		{"no failure", loopback.Summary{}, kept, nil, true},
 		{"a broken rule", loopback.Summary{}, broken, nil, true},
-		{"lost requests that broke a rule", loopback.Summary{}, broken, loopback.ErrUnanswered, true},
-		{"open requests that broke none", loopback.Summary{}, kept, loopback.ErrUnanswered, false},
+		{"unanswered requests and a broken rule", loopback.Summary{}, broken, loopback.ErrUnanswered, true},
+		{"unanswered requests without a broken rule", loopback.Summary{}, kept, loopback.ErrUnanswered, false},
 		{"a crash", loopback.Summary{GatewayCrashes: 1}, kept, nil, false},
 		{"a gateway that was not ready", loopback.Summary{ReadinessTimeouts: 1}, kept, nil, false},
 		{"an unknown request", loopback.Summary{UnknownRequests: 1}, kept, nil, false},
-		{"gateways that never came up", loopback.Summary{}, kept, loopback.ErrNotReady, false},
+		{"gateways that never became ready", loopback.Summary{}, kept, loopback.ErrNotReady, false},
 	} {
-		if err := loopbackError(&c.summary, c.report, c.err); (err == nil) != c.valid {
+		if err := loopbackRunError(&c.summary, c.report, c.err); (err == nil) != c.valid {
 			t.Errorf("%s: the error is %v", c.name, err)
 		}
 	}
 }
 
-func TestLoopbackRunNeedsAGateway(t *testing.T) {
+// Guards against a loopback run that starts without a gateway program.
+func TestLoopbackRunRequiresGatewayProgram(t *testing.T) {
 	run := shortExperiment(1).Runs()[0]
 	run.Form = FormLoopback
 	if _, _, err := NewWorld(LoopbackOptions{})(t.Context(), run); !errors.Is(err, ErrNoGateway) {
@@ -42,7 +44,8 @@
 	}
 }
 
-func TestRunDirectories(t *testing.T) {
+// Guards against temporary directories that are left behind, and against the removal of directories in a given parent.
+func TestRunDirectoryIsRemovedOnlyIfTemporary(t *testing.T) {
 	run := shortExperiment(7).Runs()[0]
 	temporary, remove, err := runDirectory("", run)
 	if err != nil {
@@ -58,6 +61,6 @@
 	}
 	remove()
 	if _, err := os.Stat(kept); err != nil {
-		t.Errorf("a directory that was asked for is gone: %v", err)
+		t.Errorf("the directory in the given parent has been removed: %v", err)
 	}
 }
--- a/internal/experiment/metrics.go
+++ b/internal/experiment/metrics.go
@@ -1,13 +1,13 @@
 package experiment
 
-// Metric is a figure of a run that versions are compared by.
+// Metric is a number computed from a run, by which versions are compared.
 type Metric struct {
 	Name         string
 	HigherBetter bool
 	value        func(record *Record) float64
 }
 
-// Metrics returns the figures that versions are compared by, in the order in which they are shown.
+// Metrics returns the metrics by which versions are compared, in the order in which they are shown.
 func Metrics() []Metric {
 	return []Metric{
 		{"service", true, func(r *Record) float64 { return r.Result.Service.Whole }},
@@ -28,7 +28,7 @@
 	}
 }
 
-// Value returns the figure of a run.
+// Value returns the value of the metric for a run.
 func (m *Metric) Value(record *Record) float64 { return m.value(record) }
 
 func endpointOverloads(record *Record) float64 {
--- a/internal/experiment/runner.go
+++ b/internal/experiment/runner.go
@@ -10,35 +10,35 @@
 	"time"
 )
 
-// ErrBadVersion is returned for a version that cannot name records.
-var ErrBadVersion = errors.New("the version is empty or holds a zero byte")
+// ErrInvalidVersion is returned for a version that cannot be part of a record's key in the store.
+var ErrInvalidVersion = errors.New("the version is empty or contains a zero byte")
 
-// Options say how an experiment is run.
+// Options configure the execution of an experiment.
 type Options struct {
 	World    World
-	Version  string         // of the program, under which results are kept
-	Workers  int            // runs at once, at most; 0: as the experiment says, else one for each core
-	Store    *Store         // nil: results are not kept, and nothing resumes
-	Fresh    bool           // also runs what the store holds already
-	Progress func(Progress) // nil, or called after each run, one call at a time
+	Version  string         // version of the program, under which results are stored
+	Workers  int            // maximum number of concurrent runs; 0: as in the experiment, or one per core
+	Store    *Store         // nil: results are not stored, and runs are not resumed
+	Fresh    bool           // repeats runs whose records are stored already
+	Progress func(Progress) // called after each run, never concurrently; nil: not called
 }
 
-// Progress tells of one finished run.
+// Progress describes one finished run.
 type Progress struct {
 	Run     Run
 	Record  *Record // nil if the run failed
-	Stored  bool    // the store held it; it has not been run again
+	Stored  bool    // the record comes from the store; the run was not repeated
 	Err     error
-	Done    int // runs finished so far, this one among them
+	Done    int // runs finished so far, including this one
 	Planned int
 }
 
-// Outcome is what running an experiment has brought.
+// Outcome is the result of the execution of an experiment.
 type Outcome struct {
 	Records []Record // of the finished runs, in the order of Experiment.Runs
-	Stored  int      // how many of them the store held already
+	Stored  int      // number of Records that come from the store
 	Failed  int      // runs that ended with an error
-	Missing int      // runs that were not begun, or were interrupted
+	Missing int      // runs that were not started or were interrupted
 }
 
 // RulesBroken returns the records in which a rule was broken.
@@ -52,11 +52,11 @@
 	return broken
 }
 
-// Execute carries out the runs of an experiment that the store does not hold yet. A run that fails does not stop the
-// others; the errors of all are joined. When the context ends, the outcome tells what was finished until then.
+// Execute carries out the runs of an experiment that are not stored yet. A failed run does not stop the others; the
+// errors of all runs are joined. When the context ends, the outcome contains the runs that were finished until then.
 func Execute(ctx context.Context, experiment *Experiment, options Options) (Outcome, error) {
 	if options.Version == "" || strings.ContainsRune(options.Version, 0) {
-		return Outcome{}, ErrBadVersion
+		return Outcome{}, ErrInvalidVersion
 	}
 	runs := experiment.Runs()
 	e := &execution{options: options, experiment: experiment.Name, runs: runs, results: make([]runResult, len(runs))}
@@ -74,7 +74,7 @@
 	return e.outcome(ctx)
 }
 
-// workerCount returns how many runs go on at once. Loopback runs measure real time and get the machine to themselves.
+// workerCount returns the number of concurrent runs. Loopback runs measure real time and therefore run one at a time.
 func workerCount(experiment *Experiment, options Options, runs int) int {
 	if experiment.Form == FormLoopback {
 		return 1
@@ -94,9 +94,9 @@
 	options    Options
 	experiment string
 	runs       []Run
-	results    []runResult // each is written by the worker that has its run
+	results    []runResult // each element is written only by the worker of its run
 
-	mu   sync.Mutex // guards done, and makes calls of Progress one at a time
+	mu   sync.Mutex // guards done and serializes the calls of Progress
 	done int
 }
 
@@ -106,6 +106,7 @@
 	err    error
 }
 
+// distribute sends the indexes of the runs to the workers until the context ends.
 func (e *execution) distribute(ctx context.Context, next chan<- int) {
 	defer close(next)
 	for index := range e.runs {
@@ -124,7 +125,7 @@
 	run := e.runs[index]
 	result := e.result(ctx, run)
 	if result.err != nil && ctx.Err() != nil {
-		return // interrupted: it is neither finished nor failed
+		return // an interrupted run counts as neither finished nor failed
 	}
 	if result.err != nil {
 		result.err = fmt.Errorf("%s, size %g, seed %d: %w", run.Decider, run.Size, run.Seed, result.err)
@@ -133,7 +134,7 @@
 	e.report(run, result)
 }
 
-// result returns the record of a run from the store, or else carries the run out and stores it.
+// result returns the stored record of a run. If there is none, it carries out the run and stores its record.
 func (e *execution) result(ctx context.Context, run Run) runResult {
 	digest, err := run.digest()
 	if err != nil {
@@ -141,23 +142,23 @@
 	}
 	record := &Record{Experiment: e.experiment, Version: e.options.Version, Form: run.Form, Decider: run.Decider,
 		Size: run.Size, Seed: run.Seed, Scenario: digest}
-	if stored, err := e.find(record); err != nil || stored != nil {
+	if stored, err := e.findStored(record); err != nil || stored != nil {
 		return runResult{record: stored, stored: stored != nil, err: err}
 	}
-	began := time.Now()
+	started := time.Now()
 	record.Result, record.Rules, err = e.options.World(ctx, run)
 	if err != nil {
 		return runResult{err: err}
 	}
-	record.Elapsed = time.Since(began)
+	record.Elapsed = time.Since(started)
 	if e.options.Store != nil {
 		err = e.options.Store.Put(record)
 	}
 	return runResult{record: record, err: err}
 }
 
-// find returns the stored record of a run, or nil if the run has to be made.
-func (e *execution) find(wanted *Record) (*Record, error) {
+// findStored returns the stored record of a run, or nil if the run has to be carried out.
+func (e *execution) findStored(wanted *Record) (*Record, error) {
 	if e.options.Store == nil || e.options.Fresh {
 		return nil, nil
 	}
--- a/internal/experiment/runner_test.go
+++ b/internal/experiment/runner_test.go
@@ -29,7 +29,7 @@
 	return store
 }
 
-// countingWorld serves as many requests as its seed says, and counts its runs.
+// countingWorld returns a World whose results have as many requests as the seed of the run, and which counts its runs.
 func countingWorld(runs *atomic.Int64) World {
 	return func(_ context.Context, run Run) (measure.Result, invariant.Report, error) {
 		runs.Add(1)
@@ -39,7 +39,7 @@
 	}
 }
 
-func totalsOf(records []Record) []int64 {
+func requestTotals(records []Record) []int64 {
 	var totals []int64
 	for _, record := range records {
 		totals = append(totals, record.Result.Requests.Total)
@@ -47,18 +47,20 @@
 	return totals
 }
 
-func TestRecordsComeInTheOrderOfTheRuns(t *testing.T) {
+// Guards against records in the order in which concurrent runs finish.
+func TestExecuteReturnsRecordsInRunOrder(t *testing.T) {
 	var runs atomic.Int64
 	experiment := trialExperiment(9, 1, 5, 3, 7, 2)
 	outcome, err := Execute(t.Context(), experiment, Options{World: countingWorld(&runs), Version: "v1", Workers: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := totalsOf(outcome.Records), []int64{9, 1, 5, 3, 7, 2}; !reflect.DeepEqual(got, want) {
+	if got, want := requestTotals(outcome.Records), []int64{9, 1, 5, 3, 7, 2}; !reflect.DeepEqual(got, want) {
 		t.Errorf("records are of seeds %v, want %v", got, want)
 	}
 }
 
+// Guards against an interrupted experiment that loses finished runs, repeats them, or stores the interrupted run.
 func TestInterruptedExperimentResumes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "results.db")
 	experiment := trialExperiment(1, 2, 3, 4)
@@ -91,15 +93,17 @@
 	if err != nil || outcome.Stored != 2 || runs.Load() != 2 {
 		t.Errorf("%d from the store, %d runs, error %v, want 2 and 2", outcome.Stored, runs.Load(), err)
 	}
-	if got, want := totalsOf(outcome.Records), []int64{1, 2, 3, 4}; !reflect.DeepEqual(got, want) {
+	if got, want := requestTotals(outcome.Records), []int64{1, 2, 3, 4}; !reflect.DeepEqual(got, want) {
 		t.Errorf("records are of seeds %v, want %v", got, want)
 	}
 	if last.Done != 4 || last.Planned != 4 {
-		t.Errorf("the last progress is %d of %d", last.Done, last.Planned)
+		t.Errorf("the last progress is %d of %d, want 4 of 4", last.Done, last.Planned)
 	}
 }
 
-func TestWhatDiffersIsRunAgain(t *testing.T) {
+// Guards against a stored record that is used although the seed, the scenario or the version differs, and against
+// repeated runs when only the description differs.
+func TestExecuteRepeatsOnlyChangedRuns(t *testing.T) {
 	store := openTestStore(t, filepath.Join(t.TempDir(), "results.db"))
 	defer func() { _ = store.Close() }()
 	var runs atomic.Int64
@@ -135,7 +139,8 @@
 	}
 }
 
-func TestAFailedRunDoesNotStopTheOthers(t *testing.T) {
+// Guards against one failed run that ends the experiment or hides its error.
+func TestFailedRunDoesNotStopOthers(t *testing.T) {
 	errBroken := errors.New("broken")
 	var runs atomic.Int64
 	fakeWorld := countingWorld(&runs)
@@ -151,13 +156,14 @@
 	}
 }
 
-func TestLoopbackRunsGoOnOneAtATime(t *testing.T) {
+// Guards against concurrent loopback runs, which would disturb each other's measurements in real time.
+func TestLoopbackRunsAreSequential(t *testing.T) {
 	experiment := trialExperiment(1, 2, 3, 4, 5)
 	experiment.Form = FormLoopback
 	var running atomic.Int64
 	world := func(context.Context, Run) (measure.Result, invariant.Report, error) {
 		if running.Add(1) > 1 {
-			t.Error("two runs at once")
+			t.Error("two loopback runs are active at once")
 		}
 		running.Add(-1)
 		return measure.Result{}, invariant.Report{}, nil
@@ -167,7 +173,8 @@
 	}
 }
 
-func TestBrokenRulesAreFound(t *testing.T) {
+// Guards against runs that broke a rule but are not reported.
+func TestRulesBrokenReturnsRecordsWithViolations(t *testing.T) {
 	world := func(_ context.Context, run Run) (measure.Result, invariant.Report, error) {
 		var report invariant.Report
 		if run.Seed == 2 {
@@ -181,12 +188,13 @@
 	}
 	broken := outcome.RulesBroken()
 	if len(broken) != 1 || broken[0].Seed != 2 || rulesBroken(&broken[0]) != 3 {
-		t.Errorf("records with broken rules are %+v", broken)
+		t.Errorf("records with broken rules are %+v, want one of seed 2 with 3 violations", broken)
 	}
 }
 
-func TestResultsAreOneJSONObjectALine(t *testing.T) {
-	records := []Record{servedRecord("old", 1, 0.5), servedRecord("new", 2, 0.6)}
+// Guards against results that cannot be read back line by line.
+func TestWriteJSONLinesWritesOneObjectPerLine(t *testing.T) {
+	records := []Record{recordWithService("old", 1, 0.5), recordWithService("new", 2, 0.6)}
 	var text bytes.Buffer
 	if err := WriteJSONLines(&text, records); err != nil {
 		t.Fatal(err)
@@ -203,7 +211,8 @@
 	}
 }
 
-func TestAStoreInUseIsSaidSo(t *testing.T) {
+// Guards against a second process that waits forever for a store in use, or gets an unspecific error.
+func TestOpenStoreReportsStoreInUse(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "results.db")
 	store := openTestStore(t, path)
 	defer func() { _ = store.Close() }()
@@ -212,8 +221,9 @@
 	}
 }
 
-func TestAnEmptyVersionIsRejected(t *testing.T) {
-	if _, err := Execute(t.Context(), trialExperiment(1), Options{}); !errors.Is(err, ErrBadVersion) {
+// Guards against records without a version, which cannot be told apart in the store.
+func TestExecuteRejectsEmptyVersion(t *testing.T) {
+	if _, err := Execute(t.Context(), trialExperiment(1), Options{}); !errors.Is(err, ErrInvalidVersion) {
 		t.Errorf("the error is %v, want ErrBadVersion", err)
 	}
 }
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -24,7 +24,7 @@
 // ErrStoreInUse is returned when another process keeps the store open.
 var ErrStoreInUse = errors.New("the store is in use by another process")
 
-// Record is a finished run.
+// Record is a finished run as it is stored.
 type Record struct {
 	Experiment string           `json:"experiment"`
 	Version    string           `json:"version"`
@@ -38,8 +38,8 @@
 	Rules      invariant.Report `json:"rules"`
 }
 
-// Store keeps finished runs in a bbolt file: a bucket for each experiment, in it a record for each version, decider,
-// size and seed. A run of a changed scenario replaces the earlier one.
+// Store keeps finished runs in a bbolt file. The file has a bucket for each experiment, which contains a record for
+// each version, decider, size and seed. The record of a run with a changed scenario replaces the earlier one.
 type Store struct{ db *bbolt.DB }
 
 // OpenStore opens or creates a store.
@@ -57,7 +57,7 @@
 // Close closes the store.
 func (s *Store) Close() error { return s.db.Close() }
 
-// Put keeps a record on disk.
+// Put writes a record to disk and replaces an earlier one with the same key.
 func (s *Store) Put(record *Record) error {
 	value, err := json.Marshal(record)
 	if err != nil {
@@ -76,12 +76,12 @@
 	return nil
 }
 
-// Find returns the record of the same run and the same scenario, or nil if there is none.
+// Find returns the stored record with the key and the scenario of wanted, or nil if there is none.
 func (s *Store) Find(wanted *Record) (*Record, error) {
 	var value []byte
 	err := s.db.View(func(tx *bbolt.Tx) error {
 		if bucket := tx.Bucket([]byte(wanted.Experiment)); bucket != nil {
-			value = append(value, bucket.Get(wanted.key())...) // bbolt's bytes end with the transaction
+			value = append(value, bucket.Get(wanted.key())...) // bbolt's memory is valid only during the transaction
 		}
 		return nil
 	})
@@ -95,7 +95,7 @@
 	return record, nil
 }
 
-// Records returns all records of an experiment, by version, decider, size and seed.
+// Records returns all records of an experiment, ordered by version, decider, size and seed.
 func (s *Store) Records(experiment string) ([]Record, error) {
 	var records []Record
 	err := s.db.View(func(tx *bbolt.Tx) error {
@@ -127,19 +127,20 @@
 	return names, err
 }
 
-// key is unique to a run within its experiment and sorts by version, decider, size and seed. Names hold no zero byte.
+// key returns a key that is unique within the experiment and sorts by version, decider, size and seed. A zero byte ends
+// the version and the decider, which contain none themselves.
 func (r *Record) key() []byte {
 	key := append([]byte(r.Version), 0)
 	key = append(key, r.Decider...)
 	key = append(key, 0)
-	key = binary.BigEndian.AppendUint64(key, math.Float64bits(r.Size)) // positive numbers sort by their bits
+	key = binary.BigEndian.AppendUint64(key, math.Float64bits(r.Size)) // the bits of positive numbers sort numerically
 	return binary.BigEndian.AppendUint64(key, r.Seed)
 }
 
 func decodeRecord(value []byte) (*Record, error) {
 	record := new(Record)
 	if err := json.Unmarshal(value, record); err != nil {
-		return nil, fmt.Errorf("decode record of the store: %w", err)
+		return nil, fmt.Errorf("decode stored record: %w", err)
 	}
 	return record, nil
 }
--- a/internal/experiment/student.go
+++ b/internal/experiment/student_t.go
@@ -2,23 +2,23 @@
 
 import "math"
 
-// confidence is the level of the intervals that compare versions.
+// confidence is the confidence level of the intervals of a comparison.
 const confidence = 0.95
 
-// Precision of the numerical functions of this file.
+// Tolerances and iteration limits of the numerical functions of this file.
 const (
 	fractionTolerance = 1e-14
 	fractionTerms     = 500
 	bisectionSteps    = 200
-	smallestFactor    = 1e-300
+	minLentzFactor    = 1e-300
 )
 
-// Interval is the mean of a sample with its confidence interval by Student's t distribution.
+// Interval holds the mean of a sample and the confidence interval of the mean by Student's t distribution.
 type Interval struct {
 	Mean, Low, High float64
 }
 
-// meanInterval returns the interval of a sample of two values at least.
+// meanInterval returns the mean and the confidence interval of a sample of at least two values.
 func meanInterval(sample []float64) Interval {
 	count := float64(len(sample))
 	var sum float64
@@ -53,7 +53,7 @@
 	return (low + high) / 2
 }
 
-// studentCDF returns the probability of a value of at most t, for t from 0.
+// studentCDF returns the cumulative distribution function of Student's t distribution at t, which must not be negative.
 func studentCDF(t, degrees float64) float64 {
 	return 1 - incompleteBeta(degrees/(degrees+t*t), degrees/2, 0.5)/2
 }
@@ -73,17 +73,17 @@
 	return 1 - front*betaFraction(1-x, b, a)/b
 }
 
-// betaFraction evaluates the continued fraction of the incomplete beta function by Lentz's method.
+// betaFraction evaluates the continued fraction of the incomplete beta function by the modified Lentz method.
 func betaFraction(x, a, b float64) float64 {
-	numerator, denominator := 1.0, 1/awayFromZero(1-(a+b)*x/(a+1))
+	numerator, denominator := 1.0, 1/avoidZero(1-(a+b)*x/(a+1))
 	result := denominator
 	for term := 1.0; term <= fractionTerms; term++ {
 		even := term * (b - term) * x / ((a + 2*term - 1) * (a + 2*term))
 		odd := -(a + term) * (a + b + term) * x / ((a + 2*term) * (a + 2*term + 1))
 		change := 1.0
 		for _, coefficient := range []float64{even, odd} {
-			denominator = 1 / awayFromZero(1+coefficient*denominator)
-			numerator = awayFromZero(1 + coefficient/numerator)
+			denominator = 1 / avoidZero(1+coefficient*denominator)
+			numerator = avoidZero(1 + coefficient/numerator)
 			change = denominator * numerator
 			result *= change
 		}
@@ -94,9 +94,10 @@
 	return result
 }
 
-func awayFromZero(value float64) float64 {
-	if math.Abs(value) < smallestFactor {
-		return smallestFactor
+// avoidZero replaces values close to zero, because the Lentz method divides by them.
+func avoidZero(value float64) float64 {
+	if math.Abs(value) < minLentzFactor {
+		return minLentzFactor
 	}
 	return value
 }
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -7,21 +7,21 @@
 	"springfield/internal/emulator"
 )
 
-// Sweep repeats an experiment for several values of one key of the scenario.
+// Sweep repeats an experiment for several values of one scenario key.
 type Sweep struct {
 	Key    string    `toml:"key"`
 	Values []float64 `toml:"values"`
 }
 
-// sweepKey is a key of the scenario that can be swept.
+// sweepKey describes a scenario key that can be swept.
 type sweepKey struct {
-	whole bool // takes whole numbers alone
-	apply func(scenario *emulator.Scenario, value float64)
+	integer bool // accepts only whole numbers
+	apply   func(scenario *emulator.Scenario, value float64)
 }
 
 var sweepKeys = map[string]sweepKey{
-	"gateways":        {whole: true, apply: setGateways},
-	"endpoints.count": {whole: true, apply: func(s *emulator.Scenario, v float64) { s.Endpoints.Count = int(v) }},
+	"gateways":        {integer: true, apply: setGateways},
+	"endpoints.count": {integer: true, apply: func(s *emulator.Scenario, v float64) { s.Endpoints.Count = int(v) }},
 	"clients.load":    {apply: func(s *emulator.Scenario, v float64) { s.Clients.Load = v }},
 	"clients.skew":    {apply: func(s *emulator.Scenario, v float64) { s.Clients.Skew = v }},
 	"meter.guess_err": {apply: func(s *emulator.Scenario, v float64) { s.Meter.GuessErr = v }},
@@ -37,8 +37,8 @@
 	return keys
 }
 
-// setGateways scales the endpoints along, so that their ratio to the gateways stays the same. Load follows by itself:
-// it is a share of what the endpoints can do.
+// setGateways sets the number of gateways and scales the number of endpoints to keep their ratio. The load scales with
+// it, because it is given as a share of the capacity of the endpoints.
 func setGateways(scenario *emulator.Scenario, value float64) {
 	perGateway := float64(scenario.Endpoints.Count) / float64(scenario.Gateways)
 	scenario.Gateways = int(value)
--- a/internal/experiment/text.go
+++ b/internal/experiment/text.go
@@ -13,7 +13,7 @@
 	table := newTable(w)
 	table.line("%s: %v, compared with %v\n", c.Experiment, c.After, c.Before)
 	if c.Unpaired > 0 {
-		table.line("%d records have no partner of the same size and seed (%d of them: the scenario was changed)\n",
+		table.line("%d records have no partner of the same size and seed (%d of them because the scenario changed)\n",
 			c.Unpaired, c.ScenarioChanged)
 	}
 	if len(c.Sizes) == 0 {
@@ -22,14 +22,14 @@
 	for i := range c.Sizes {
 		c.Sizes[i].write(table)
 	}
-	table.line("\nEach interval is of its metric alone: of many metrics, some may seem to differ by chance.\n")
+	table.line("\nEach interval covers one metric alone: among many metrics, some may seem to differ by chance.\n")
 	return table.flush()
 }
 
 func (s *SizeComparison) write(table *table) {
-	table.line("\nsize %g: pairs %d, by seed\n", s.Size, len(s.Seeds))
+	table.line("\nsize %g: pairs %d, matched by seed\n", s.Size, len(s.Seeds))
 	if len(s.Seeds) < minPairs {
-		table.line("under two pairs: there is no interval, and a difference may be chance\n")
+		table.line("under two pairs: there is no interval, and a difference may be due to chance\n")
 	}
 	table.line("metric\tbefore\tafter\tmean difference\t95%% interval\tverdict\n")
 	for _, metric := range s.Metrics {
@@ -42,7 +42,8 @@
 	}
 }
 
-// WriteList writes a line for each version, decider and size that has records, with the means of the main metrics.
+// WriteList writes a line for each experiment, version, decider and size with records, with the means of the main
+// metrics.
 func WriteList(w io.Writer, records []Record) error {
 	sorted := slices.Clone(records)
 	slices.SortStableFunc(sorted, compareGroups)
@@ -61,7 +62,7 @@
 	return table.flush()
 }
 
-// compareGroups orders records by what WriteList puts on one line.
+// compareGroups orders records by the fields by which WriteList groups them into lines.
 func compareGroups(a, b Record) int {
 	return cmp.Or(cmp.Compare(a.Experiment, b.Experiment), cmp.Compare(a.Version, b.Version),
 		cmp.Compare(a.Decider, b.Decider), cmp.Compare(a.Size, b.Size))
@@ -86,7 +87,7 @@
 		first.Size, len(group), service, worst, latency, price, broken)
 }
 
-// table writes aligned columns and keeps the first error.
+// table writes aligned columns and stores the first error.
 type table struct {
 	writer *tabwriter.Writer
 	err    error
--- a/internal/experiment/validate.go
+++ b/internal/experiment/validate.go
@@ -13,64 +13,65 @@
 	"springfield/internal/emulator/model"
 )
 
-// scenarioKey is the prefix of the scenario's keys in an experiment file.
-const scenarioKey = "scenario."
+// scenarioPrefix is the prefix of the scenario's keys in an experiment file.
+const scenarioPrefix = "scenario."
 
-// maxSwept bounds swept whole numbers, so that a slip of the keyboard is an error and no run that never ends.
-const maxSwept = 100_000
+// maxSweptValue bounds swept values, so that a typing error is reported and does not start a run that never ends.
+const maxSweptValue = 100_000
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9_-]*$`)
 
-// keyFault is a fault of the value of a key.
-type keyFault struct{ key, reason string }
+// keyError is an error in the value of a key.
+type keyError struct{ key, reason string }
 
-// validate returns what is wrong with the experiment, in a fixed order.
-func (e *Experiment) validate() []keyFault {
-	faults := slices.Concat(e.validateName(), e.validateForm(), e.validateDeciders(), e.validateSeeds(), e.validateSweep())
+// validate returns the errors in the experiment, in a fixed order.
+func (e *Experiment) validate() []keyError {
+	errs := slices.Concat(e.validateName(), e.validateForm(), e.validateDeciders(), e.validateSeeds(), e.validateSweep())
 	if e.Workers < 0 {
-		faults = append(faults, keyFault{"workers", fmt.Sprintf("is %d, want 0 or more", e.Workers)})
+		errs = append(errs, keyError{"workers", fmt.Sprintf("is %d, want 0 or more", e.Workers)})
 	}
-	scenarioFaults := validateScenario(&e.Scenario)
-	if e.Sweep != nil && len(faults) == 0 && len(scenarioFaults) == 0 {
-		scenarioFaults = e.validateSizes()
+	scenarioErrs := validateScenario(&e.Scenario)
+	if e.Sweep != nil && len(errs) == 0 && len(scenarioErrs) == 0 {
+		scenarioErrs = e.validateSizes()
 	}
-	return append(faults, scenarioFaults...)
+	return append(errs, scenarioErrs...)
 }
 
-func (e *Experiment) validateName() []keyFault {
+func (e *Experiment) validateName() []keyError {
 	if !namePattern.MatchString(e.Name) {
-		return []keyFault{{"name", fmt.Sprintf("is %q, want lower-case letters, digits, - and _", e.Name)}}
+		return []keyError{{"name", fmt.Sprintf("is %q, want lower-case letters, digits, - and _", e.Name)}}
 	}
 	return nil
 }
 
-func (e *Experiment) validateForm() []keyFault {
+func (e *Experiment) validateForm() []keyError {
 	if e.Form != FormVirtual && e.Form != FormLoopback {
-		return []keyFault{{"form", fmt.Sprintf("is %q, want %q or %q", e.Form, FormVirtual, FormLoopback)}}
+		return []keyError{{"form", fmt.Sprintf("is %q, want %q or %q", e.Form, FormVirtual, FormLoopback)}}
 	}
 	return nil
 }
 
-func (e *Experiment) validateDeciders() []keyFault {
+func (e *Experiment) validateDeciders() []keyError {
 	if len(e.Deciders) == 0 {
-		return []keyFault{{"deciders", "is missing or empty"}}
+		return []keyError{{"deciders", "is missing or empty"}}
 	}
 	known := DeciderNames(e.Form)
-	var faults []keyFault
+	var errs []keyError
 	for i, name := range e.Deciders {
 		key := fmt.Sprintf("deciders[%d]", i)
 		if !slices.Contains(known, name) {
 			reason := fmt.Sprintf("is %q, want one of %s (form %s)", name, strings.Join(known, ", "), e.Form)
-			faults = append(faults, keyFault{key, reason})
+			errs = append(errs, keyError{key, reason})
 		}
 		if slices.Contains(e.Deciders[:i], name) {
-			faults = append(faults, keyFault{key, fmt.Sprintf("%q stands twice", name)})
+			errs = append(errs, keyError{key, fmt.Sprintf("%q occurs twice", name)})
 		}
 	}
-	return faults
+	return errs
 }
 
-// DeciderNames returns the names that deciders may have. A gateway process has the project's policy alone.
+// DeciderNames returns the names of the deciders that a form supports. Gateway processes support only the project's
+// policy.
 func DeciderNames(form Form) []string {
 	if form == FormLoopback {
 		return []string{Springfield}
@@ -78,74 +79,74 @@
 	return append([]string{Springfield}, baseline.Names()...)
 }
 
-func (e *Experiment) validateSeeds() []keyFault {
+func (e *Experiment) validateSeeds() []keyError {
 	if len(e.Seeds) == 0 {
-		return []keyFault{{"seeds", "is missing or empty"}}
+		return []keyError{{"seeds", "is missing or empty"}}
 	}
 	for i, seed := range e.Seeds {
 		if slices.Contains(e.Seeds[:i], seed) {
-			return []keyFault{{fmt.Sprintf("seeds[%d]", i), fmt.Sprintf("%d stands twice", seed)}}
+			return []keyError{{fmt.Sprintf("seeds[%d]", i), fmt.Sprintf("%d occurs twice", seed)}}
 		}
 	}
 	return nil
 }
 
-func (e *Experiment) validateSweep() []keyFault {
+func (e *Experiment) validateSweep() []keyError {
 	if e.Sweep == nil {
 		return nil
 	}
 	swept, ok := sweepKeys[e.Sweep.Key]
 	if !ok {
 		reason := fmt.Sprintf("is %q, want one of %s", e.Sweep.Key, strings.Join(SweepKeys(), ", "))
-		return []keyFault{{"sweep.key", reason}}
+		return []keyError{{"sweep.key", reason}}
 	}
 	if len(e.Sweep.Values) == 0 {
-		return []keyFault{{"sweep.values", "is missing or empty"}}
+		return []keyError{{"sweep.values", "is missing or empty"}}
 	}
-	var faults []keyFault
+	var errs []keyError
 	for i, value := range e.Sweep.Values {
 		key := fmt.Sprintf("sweep.values[%d]", i)
 		switch {
-		case math.IsNaN(value) || value < 0 || value > maxSwept:
-			faults = append(faults, keyFault{key, fmt.Sprintf("is %g, want 0 to %d", value, maxSwept)})
-		case swept.whole && (value < 1 || value != math.Trunc(value)):
-			faults = append(faults, keyFault{key, fmt.Sprintf("is %g, want a whole number from 1", value)})
+		case math.IsNaN(value) || value < 0 || value > maxSweptValue:
+			errs = append(errs, keyError{key, fmt.Sprintf("is %g, want 0 to %d", value, maxSweptValue)})
+		case swept.integer && (value < 1 || value != math.Trunc(value)):
+			errs = append(errs, keyError{key, fmt.Sprintf("is %g, want a whole number from 1", value)})
 		case slices.Contains(e.Sweep.Values[:i], value):
-			faults = append(faults, keyFault{key, fmt.Sprintf("%g stands twice", value)})
+			errs = append(errs, keyError{key, fmt.Sprintf("%g occurs twice", value)})
 		}
 	}
-	return faults
+	return errs
 }
 
-// validateSizes validates the scenario of each swept value. A fault counts as one of the value.
-func (e *Experiment) validateSizes() []keyFault {
-	var faults []keyFault
+// validateSizes validates the scenario of each swept value. Its errors are reported at the key of the value.
+func (e *Experiment) validateSizes() []keyError {
+	var errs []keyError
 	for i, value := range e.Sweep.Values {
-		scenario := e.scenarioOf(value)
-		for _, fault := range validateScenario(&scenario) {
+		scenario := e.scenarioForSize(value)
+		for _, keyErr := range validateScenario(&scenario) {
 			key := fmt.Sprintf("sweep.values[%d]", i)
-			faults = append(faults, keyFault{key, fmt.Sprintf("with %g, %s %s", value, fault.key, fault.reason)})
+			errs = append(errs, keyError{key, fmt.Sprintf("with %g, %s %s", value, keyErr.key, keyErr.reason)})
 		}
 	}
-	return faults
+	return errs
 }
 
-// validateScenario returns the faults of a scenario under their keys in the experiment file.
-func validateScenario(scenario *emulator.Scenario) []keyFault {
-	var faults []keyFault
-	for _, err := range unjoin(model.Validate(scenario)) {
-		var fault *model.ScenarioError
-		if errors.As(err, &fault) {
-			faults = append(faults, keyFault{scenarioKey + fault.Path, fault.Reason})
+// validateScenario returns the errors in a scenario, with their keys in the experiment file.
+func validateScenario(scenario *emulator.Scenario) []keyError {
+	var errs []keyError
+	for _, err := range splitJoinedErrors(model.Validate(scenario)) {
+		var scenarioErr *model.ScenarioError
+		if errors.As(err, &scenarioErr) {
+			errs = append(errs, keyError{scenarioPrefix + scenarioErr.Path, scenarioErr.Reason})
 		} else {
-			faults = append(faults, keyFault{strings.TrimSuffix(scenarioKey, "."), err.Error()})
+			errs = append(errs, keyError{strings.TrimSuffix(scenarioPrefix, "."), err.Error()})
 		}
 	}
-	return faults
+	return errs
 }
 
-// unjoin returns the errors that errors.Join has joined.
-func unjoin(err error) []error {
+// splitJoinedErrors returns the errors that errors.Join combined.
+func splitJoinedErrors(err error) []error {
 	if err == nil {
 		return nil
 	}
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -11,13 +11,13 @@
 	"springfield/internal/measure"
 )
 
-// UnknownDeciderError is returned for a run whose decider no package provides.
+// UnknownDeciderError is returned for a run whose decider does not exist in the form of the run.
 type UnknownDeciderError struct{ Name string }
 
-// Error names the decider.
+// Error implements error.
 func (e *UnknownDeciderError) Error() string { return fmt.Sprintf("there is no decider %q", e.Name) }
 
-// NewWorld returns the world of both forms.
+// NewWorld returns a World that carries out runs of both forms.
 func NewWorld(options LoopbackOptions) World {
 	loopbackWorld := newLoopbackWorld(options)
 	return func(ctx context.Context, run Run) (measure.Result, invariant.Report, error) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// runVirtual is the World of virtual time.
+// runVirtual carries out a run in virtual time. It is a World.
 func runVirtual(ctx context.Context, run Run) (measure.Result, invariant.Report, error) {
 	newDecider, err := deciderByName(run.Decider)
 	if err != nil {
--- a/internal/experiment/world_test.go
+++ b/internal/experiment/world_test.go
@@ -10,14 +10,15 @@
 	"springfield/internal/emulator"
 )
 
-// shortExperiment is a virtual experiment of a second's load.
+// shortExperiment returns a virtual experiment with a load of one second.
 func shortExperiment(seeds ...uint64) *Experiment {
 	experiment := trialExperiment(seeds...)
 	experiment.Scenario.Length = emulator.Duration(time.Second)
 	return experiment
 }
 
-func TestVirtualRunsAreTheSameHoweverManyGoOnAtOnce(t *testing.T) {
+// Guards against state that concurrent runs share, and against randomness that does not come from the seed.
+func TestVirtualRunsDoNotDependOnWorkerCount(t *testing.T) {
 	experiment := shortExperiment(1, 2, 3)
 	experiment.Deciders = DeciderNames(FormVirtual)
 	world := NewWorld(LoopbackOptions{})
@@ -36,7 +37,7 @@
 		first, second := &alone.Records[i], &together.Records[i]
 		first.Elapsed, second.Elapsed = 0, 0
 		if !reflect.DeepEqual(first, second) {
-			t.Errorf("%s with seed %d has differed", first.Decider, first.Seed)
+			t.Errorf("%s with seed %d: the results of one and of four workers differ", first.Decider, first.Seed)
 		}
 		if first.Result.Requests.Total == 0 || first.Rules.Requests != first.Result.Tries.Total {
 			t.Errorf("%s with seed %d: measured %d requests and %d tries, checked %d", first.Decider, first.Seed,
@@ -48,7 +49,8 @@
 	}
 }
 
-func TestAVirtualRunEndsWithItsContext(t *testing.T) {
+// Guards against a virtual run that ignores its context.
+func TestVirtualRunStopsWhenContextEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, _, err := NewWorld(LoopbackOptions{})(ctx, shortExperiment(1).Runs()[0])
@@ -57,7 +59,8 @@
 	}
 }
 
-func TestAnUnknownDeciderIsNamed(t *testing.T) {
+// Guards against a run with an unknown decider that starts, or whose error does not name the decider.
+func TestUnknownDeciderErrorContainsName(t *testing.T) {
 	world := NewWorld(LoopbackOptions{Directory: t.TempDir()})
 	for _, form := range []Form{FormVirtual, FormLoopback} {
 		run := shortExperiment(1).Runs()[0]
