--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,5 +1,6 @@
-// Package soak runs randomized faults against real gateway processes on loopback and looks for broken rules. Each run
-// is drawn from a seed: a small deployment, and a few faults that overlap in time. Seeds are laid out so that all pairs
-// of kinds of fault come together. The oracles are the checker of the emulator's rules, the guards of the gateways
-// (springfield/internal/invariant), and what the processes do: crash, end late, starve or keep clients that stall.
+// Package soak runs randomized faults against real gateway processes on loopback sockets and looks for broken rules.
+// Each seed determines a run: a small deployment and two or three faults that overlap in time. Consecutive seeds cover
+// all pairs of kinds of fault. The oracles are the checker of the emulator's rules, the gateways' own checks of their
+// invariants (springfield/internal/invariant), and the behavior of the processes: a run fails if a gateway crashes,
+// exits late, starves or does not close the connections of stalled clients.
 package soak
--- a/internal/soak/findings.go
+++ b/internal/soak/findings.go
@@ -12,18 +12,18 @@
 	"springfield/internal/emulator/loopback"
 )
 
-// logFaults are what the log of a gateway must not contain.
-var logFaults = []string{`msg="invariant violated"`, "panic: ", "fatal error: ", "WARNING: DATA RACE"}
+// forbiddenLogTexts must not occur in the log of a gateway.
+var forbiddenLogTexts = []string{`msg="invariant violated"`, "panic: ", "fatal error: ", "WARNING: DATA RACE"}
 
-// breaksConnects are the kinds of fault after which a connect may fail for a reason of the endpoint or the network.
-var breaksConnects = []Kind{
+// connectFailureKinds are the kinds of fault that can make connects fail because of an endpoint or the network.
+var connectFailureKinds = []Kind{
 	Kind(emulator.FaultDrainEndpoints), Kind(emulator.FaultReplace), Kind(emulator.FaultStopEndpoints),
 	Kind(emulator.FaultPartition), Kind(emulator.FaultKillGateways), Kind(emulator.FaultResets),
 	Kind(emulator.FaultSpoiltAnswers), Kind(emulator.FaultSilentEndpoints), Kind(emulator.FaultSlowEndpoints),
 	PauseGateways, IdleFlood, LateConnects, SpoiltBytes,
 }
 
-// findings collects what a run has broken.
+// findings returns the failures of a run that the oracles have detected.
 func (r *runner) findings(rules invariant.Report, summary loopback.Summary, remaining, starved int,
 	err error) []Finding {
 	var findings []Finding
@@ -38,23 +38,24 @@
 	if err != nil {
 		add("run", 1, err.Error())
 	}
-	add("crash", summary.GatewayCrashes, "gateway processes ended without being told to")
+	add("crash", summary.GatewayCrashes, "gateway processes exited without a signal to do so")
 	add("late start", summary.ReadinessTimeouts, "gateways were not ready in time")
-	add("late end", summary.DrainsKilled+remaining, "gateways did not end after SIGTERM")
-	add("unknown request", int(summary.UnknownRequests), "endpoints got requests that no client had sent")
+	add("late end", summary.DrainsKilled+remaining, "gateways did not exit in time after SIGTERM")
+	add("unknown request", int(summary.UnknownRequests), "endpoints received requests that no client had sent")
 	if r.plan.has(SlowLists) && r.plan.has(Kind(emulator.FaultDiscoveryDown)) {
-		starved = 0 // processes without a list get none while discovery is down and for the time of a slow list
+		starved = 0 // gateways that start without a list get none until discovery is up and the slow list is complete
 	}
-	add("starvation", starved, "gateways rejected all that they got for five seconds")
-	add("stalled client kept", int(r.clients.kept.Load()), "connections outlasted the time that bad clients are owed")
-	add("pipelined request unanswered", int(r.clients.unanswered.Load()), "connections ended before the last answer")
+	add("starvation", starved, "gateways rejected all requests for five seconds")
+	add("stalled client kept", int(r.faultyClients.stalledKept.Load()), "gateways did not close connections in time")
+	add("pipelined request unanswered", int(r.faultyClients.unansweredRequests.Load()),
+		"connections were closed before the last response")
 	return append(findings, r.logFindings()...)
 }
 
-// connectFailed finds the count of failed connects in a summary line.
-var connectFailed = regexp.MustCompile(`msg=summary .*\battempt_connect_failed=(\d+)`)
+// connectFailureCount matches the number of failed connects in a summary line of the log.
+var connectFailureCount = regexp.MustCompile(`msg=summary .*\battempt_connect_failed=(\d+)`)
 
-// logFindings looks through the logs of the gateways.
+// logFindings returns the failures that show in the logs of the gateways.
 func (r *runner) logFindings() []Finding {
 	paths, err := filepath.Glob(filepath.Join(r.options.Directory, "*.log"))
 	if err != nil {
@@ -66,38 +67,39 @@
 		if err != nil {
 			return []Finding{{What: "logs", Count: 1, Detail: err.Error()}}
 		}
-		for _, fault := range logFaults {
-			if count := strings.Count(string(text), fault); count > 0 {
-				findings = append(findings, Finding{What: "log: " + fault, Count: count, Detail: lineWith(string(text), fault)})
+		for _, entry := range forbiddenLogTexts {
+			if count := strings.Count(string(text), entry); count > 0 {
+				findings = append(findings, Finding{What: "log: " + entry, Count: count, Detail: findLine(string(text), entry)})
 			}
 		}
-		findings = append(findings, r.localFindings(string(text))...)
+		findings = append(findings, r.localFailureFindings(string(text))...)
 	}
 	return findings
 }
 
-// localFindings looks for failures of the gateway's machine that were taken for failures of endpoints.
-func (r *runner) localFindings(log string) []Finding {
+// localFailureFindings returns connect failures of the gateway's own machine that the gateway attributed to endpoints.
+// It finds none in runs in which connects can fail for other reasons.
+func (r *runner) localFailureFindings(log string) []Finding {
 	if !r.plan.has(FailConnect) {
 		return nil
 	}
-	for _, kind := range breaksConnects {
+	for _, kind := range connectFailureKinds {
 		if r.plan.has(kind) {
 			return nil
 		}
 	}
 	var findings []Finding
-	for _, match := range connectFailed.FindAllStringSubmatch(log, -1) {
+	for _, match := range connectFailureCount.FindAllStringSubmatch(log, -1) {
 		count, err := strconv.Atoi(match[1])
 		if err == nil {
-			findings = append(findings, Finding{What: "local failure held against endpoints", Count: count, Detail: match[0]})
+			findings = append(findings, Finding{What: "local failure attributed to endpoints", Count: count, Detail: match[0]})
 		}
 	}
 	return findings
 }
 
-// lineWith returns the first line that contains a text.
-func lineWith(text, part string) string {
+// findLine returns the first line that contains part.
+func findLine(text, part string) string {
 	for line := range strings.Lines(text) {
 		if strings.Contains(line, part) {
 			return strings.TrimSpace(line)
--- a/internal/soak/kind.go
+++ b/internal/soak/kind.go
@@ -6,28 +6,28 @@
 	"springfield/internal/emulator"
 )
 
-// Kind names a kind of fault of a soak.
+// Kind names a kind of fault that a soak injects.
 type Kind string
 
-// The kinds that a scenario's fault schedule does not have.
+// The kinds of fault that a scenario's fault schedule does not support.
 const (
-	PauseGateways   Kind = "pause_gateways"   // stopped for 0.15 s, again and again
-	CloseLogs       Kind = "close_logs"       // the reader of the log leaves
-	StallLogs       Kind = "stall_logs"       // nobody reads the log, and its pipe is full
-	HalfConfigs     Kind = "half_configs"     // SIGHUP with a configuration that is written in halves
-	FailAccept      Kind = "fail_accept"      // accept fails
-	FailConnect     Kind = "fail_connect"     // connect fails for a reason of the gateway's machine
-	SlowLists       Kind = "slow_lists"       // lists arrive slowly, and gateways start without one
-	ClockOffset     Kind = "clock_offset"     // the wall clock of the gateways is an hour off, and all endpoints are cold
-	IdleFlood       Kind = "idle_flood"       // connections that send nothing
-	StalledClients  Kind = "stalled_clients"  // clients that stop inside a request and stay
-	LateConnects    Kind = "late_connects"    // connections to endpoints come up late
-	SpoiltBytes     Kind = "spoilt_bytes"     // responses are cut, stalled, dribbled or doubled at any byte
-	PipeliningCrowd Kind = "pipelining_crowd" // clients that send much behind a request, and go or stay
+	PauseGateways   Kind = "pause_gateways"   // gateway processes are stopped for 0.15 s repeatedly
+	CloseLogs       Kind = "close_logs"       // the reading end of a gateway's log is closed
+	StallLogs       Kind = "stall_logs"       // the pipe of a gateway's log is full and not read
+	HalfConfigs     Kind = "half_configs"     // a gateway gets SIGHUP while its configuration is half written
+	FailAccept      Kind = "fail_accept"      // accept calls fail
+	FailConnect     Kind = "fail_connect"     // connect calls fail because of the gateway's machine
+	SlowLists       Kind = "slow_lists"       // endpoint lists arrive slowly, and gateways start without one
+	ClockOffset     Kind = "clock_offset"     // clocks of gateways and cold endpoints differ by up to an hour
+	IdleFlood       Kind = "idle_flood"       // many connections of clients send nothing
+	StalledClients  Kind = "stalled_clients"  // clients stop inside a request and stay connected
+	LateConnects    Kind = "late_connects"    // connections to endpoints are established late
+	SpoiltBytes     Kind = "spoilt_bytes"     // responses are cut, stalled, sent in pieces or doubled at any byte
+	PipeliningCrowd Kind = "pipelining_crowd" // clients pipeline requests, or send garbage after one and leave
 )
 
-// scheduled are the kinds of a scenario's fault schedule.
-var scheduled = []Kind{
+// scheduledKinds are the kinds of fault that a scenario's fault schedule supports.
+var scheduledKinds = []Kind{
 	Kind(emulator.FaultKillGateways), Kind(emulator.FaultRestartGateways), Kind(emulator.FaultDrainEndpoints),
 	Kind(emulator.FaultReplace), Kind(emulator.FaultStopEndpoints), Kind(emulator.FaultSlowEndpoints),
 	Kind(emulator.FaultFailEndpoints), Kind(emulator.FaultSilentEndpoints), Kind(emulator.FaultPartition),
@@ -36,16 +36,16 @@
 	Kind(emulator.FaultMeterSilence),
 }
 
-// Kinds returns all kinds of fault.
+// Kinds returns all kinds of fault in a fixed order.
 func Kinds() []Kind {
-	return append(slices.Clone(scheduled), PauseGateways, CloseLogs, StallLogs, HalfConfigs, FailAccept, FailConnect,
+	return append(slices.Clone(scheduledKinds), PauseGateways, CloseLogs, StallLogs, HalfConfigs, FailAccept, FailConnect,
 		SlowLists, ClockOffset, IdleFlood, StalledClients, PipeliningCrowd, LateConnects, SpoiltBytes)
 }
 
 // isScheduled reports whether the scenario's fault schedule carries out faults of the kind.
-func (k Kind) isScheduled() bool { return slices.Contains(scheduled, k) }
+func (k Kind) isScheduled() bool { return slices.Contains(scheduledKinds, k) }
 
-// Pair is two kinds of fault, in the order of Kinds.
+// Pair holds two different kinds of fault, in the order of Kinds.
 type Pair [2]Kind
 
 // Pairs returns all pairs of different kinds.
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -9,33 +9,33 @@
 )
 
 const (
-	loadLength    = 8 * time.Second
-	faultsBegin   = 1500 * time.Millisecond
-	faultsSpread  = time.Second // between the begins of two faults at most
-	minFault      = 1500 * time.Millisecond
-	maxFault      = 3 * time.Second
-	minGateways   = 10
-	extraGateways = 4
-	endpoints     = 8
-	zones         = 2
+	loadLength       = 8 * time.Second
+	firstFaultAt     = 1500 * time.Millisecond
+	maxFaultStartGap = time.Second // upper limit of the time between the starts of two consecutive faults
+	minFaultLength   = 1500 * time.Millisecond
+	maxFaultLength   = 3 * time.Second
+	minGateways      = 10
+	maxExtraGateways = 4
+	endpointCount    = 8
+	zoneCount        = 2
 )
 
 // Fault is one fault of a run.
 type Fault struct {
 	Kind   Kind
-	At     time.Duration // from the begin of the load
+	At     time.Duration // since the start of the load
 	Length time.Duration
 }
 
-// Plan is a run as it is drawn from a seed.
+// Plan describes a run, which its seed determines.
 type Plan struct {
 	Seed     uint64
 	Gateways int
 	Faults   []Fault
 }
 
-// NewPlan draws a run. Of the faults the first two are a pair that the seed selects, so that consecutive seeds cover
-// all pairs; a third one joins them in most runs. Each begins while those before it last.
+// NewPlan returns the run of a seed. The seed selects a pair of kinds of fault, so that consecutive seeds cover all
+// pairs; most runs have a third kind. Each fault starts while the one before it is active.
 func NewPlan(seed uint64) Plan {
 	random := rand.New(rand.NewPCG(seed, 0))
 	pairs := shuffledPairs()
@@ -43,35 +43,35 @@
 	kinds := pair[:]
 	if random.IntN(4) > 0 {
 		for {
-			third := Kinds()[random.IntN(len(Kinds()))]
-			if !slices.Contains(kinds, third) {
-				kinds = append(slices.Clone(kinds), third)
+			extraKind := Kinds()[random.IntN(len(Kinds()))]
+			if !slices.Contains(kinds, extraKind) {
+				kinds = append(slices.Clone(kinds), extraKind)
 				break
 			}
 		}
 	}
-	plan := Plan{Seed: seed, Gateways: minGateways + random.IntN(extraGateways+1)}
-	at := faultsBegin
+	plan := Plan{Seed: seed, Gateways: minGateways + random.IntN(maxExtraGateways+1)}
+	at := firstFaultAt
 	for _, kind := range kinds {
-		length := minFault + time.Duration(random.Int64N(int64(maxFault-minFault)))
+		length := minFaultLength + time.Duration(random.Int64N(int64(maxFaultLength-minFaultLength)))
 		plan.Faults = append(plan.Faults, Fault{Kind: kind, At: at, Length: length})
-		at += time.Duration(random.Int64N(int64(min(faultsSpread, length))))
+		at += time.Duration(random.Int64N(int64(min(maxFaultStartGap, length))))
 	}
-	random.Shuffle(len(plan.Faults), func(i, j int) { // which of the pair begins first
+	random.Shuffle(len(plan.Faults), func(i, j int) { // randomizes which kind starts first
 		plan.Faults[i].Kind, plan.Faults[j].Kind = plan.Faults[j].Kind, plan.Faults[i].Kind
 	})
 	return plan
 }
 
-// shuffledPairs returns all pairs in one order for all seeds.
+// shuffledPairs returns all pairs in a random order that is the same for all seeds.
 func shuffledPairs() []Pair {
 	pairs := Pairs()
 	rand.New(rand.NewPCG(1, 1)).Shuffle(len(pairs), func(i, j int) { pairs[i], pairs[j] = pairs[j], pairs[i] })
 	return pairs
 }
 
-// Covers returns the pairs of kinds whose faults overlap.
-func (p *Plan) Covers() []Pair {
+// CoveredPairs returns the pairs of kinds of fault that the plan contains.
+func (p *Plan) CoveredPairs() []Pair {
 	var covered []Pair
 	for _, pair := range Pairs() {
 		if p.has(pair[0]) && p.has(pair[1]) {
@@ -85,19 +85,20 @@
 	return slices.ContainsFunc(p.Faults, func(fault Fault) bool { return fault.Kind == kind })
 }
 
-// without returns the plan less one of its faults.
+// without returns a copy of the plan without one of its faults.
 func (p *Plan) without(index int) Plan {
-	less := *p
-	less.Faults = slices.Delete(slices.Clone(p.Faults), index, index+1)
-	return less
+	reduced := *p
+	reduced.Faults = slices.Delete(slices.Clone(p.Faults), index, index+1)
+	return reduced
 }
 
-// scenario returns the deployment of a run. Deadlines are short, so that faults outlast them.
+// scenario returns the scenario of a run. Deadlines are no longer than the shortest fault, so that requests expire
+// while a fault is active.
 func (p *Plan) scenario() emulator.Scenario {
 	ms := func(value int) emulator.Duration { return emulator.Duration(time.Duration(value) * time.Millisecond) }
 	scenario := emulator.Scenario{
-		Name: "soak", Length: emulator.Duration(loadLength), Gateways: p.Gateways, Zones: zones,
-		Endpoints: emulator.Endpoints{Count: endpoints, Cores: 1, Slots: 4, WaitingRoom: 16, SpeedSpread: 0.2,
+		Name: "soak", Length: emulator.Duration(loadLength), Gateways: p.Gateways, Zones: zoneCount,
+		Endpoints: emulator.Endpoints{Count: endpointCount, Cores: 1, Slots: 4, WaitingRoom: 16, SpeedSpread: 0.2,
 			MaxConnections: 400, IdleTimeout: ms(5000), DrainGrace: ms(1000)},
 		WarmUp:    emulator.WarmUp{InitialCapacity: 0.2, Duration: ms(6500), OverloadFactor: 2.5, OverloadWindow: ms(1000)},
 		Network:   emulator.Network{Delay: ms(1), Jitter: 0.5, DialTimeout: ms(250), FrontDelay: ms(500)},
@@ -126,9 +127,9 @@
 
 // Parameters of scheduled faults.
 const (
-	faultShare = 0.3 // of gateways or endpoints
-	slowFactor = 6   // of slow endpoints and late lists
-	failFactor = 0.3 // of the requests or attempts
+	faultShare = 0.3 // share of the gateways or endpoints that are affected
+	slowFactor = 6   // slowdown of slow endpoints and late lists
+	failFactor = 0.3 // share of the requests or attempts that are affected
 )
 
 func scheduledFault(fault Fault) emulator.Fault {
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -10,32 +10,32 @@
 	"springfield/internal/emulator/model"
 )
 
-// Consecutive seeds cover all pairs of kinds, wherever they begin.
+// Guards against pairs of kinds of fault that no run covers: consecutive seeds cover all pairs from any first seed.
 func TestConsecutiveSeedsCoverAllPairs(t *testing.T) {
 	for _, first := range []uint64{1, 500} {
 		covered := map[Pair]bool{}
 		for seed := first; seed < first+uint64(len(Pairs())); seed++ {
 			plan := NewPlan(seed)
-			for _, pair := range plan.Covers() {
+			for _, pair := range plan.CoveredPairs() {
 				covered[pair] = true
 			}
 		}
 		if len(covered) != len(Pairs()) {
-			t.Errorf("from seed %d: %d of %d pairs", first, len(covered), len(Pairs()))
+			t.Errorf("from seed %d: %d of %d pairs are covered", first, len(covered), len(Pairs()))
 		}
 	}
 }
 
-// The faults of a run are two or three of different kinds, each of which begins while the one before lasts. The run is
-// the same each time it is drawn, and can be run.
-func TestPlansOverlapAndCanBeRun(t *testing.T) {
+// Guards against plans that differ between two calls for a seed, whose faults do not overlap, or whose scenario is
+// invalid.
+func TestPlansAreReproducibleOverlappingAndValid(t *testing.T) {
 	for seed := range uint64(400) {
 		plan := NewPlan(seed)
 		if !reflect.DeepEqual(plan, NewPlan(seed)) {
-			t.Fatalf("seed %d: drawn differently", seed)
+			t.Fatalf("seed %d: two calls return different plans", seed)
 		}
 		if count := len(plan.Faults); count < 2 || count > 3 {
-			t.Errorf("seed %d: %d faults", seed, count)
+			t.Errorf("seed %d: %d faults, want 2 or 3", seed, count)
 		}
 		for i := 1; i < len(plan.Faults); i++ {
 			before, fault := plan.Faults[i-1], plan.Faults[i]
@@ -53,8 +53,8 @@
 	}
 }
 
-// The shrinker removes the faults that a finding does not need, and keeps the others.
-func TestShrinkKeepsWhatAFindingNeeds(t *testing.T) {
+// Guards against shrunk plans that keep a fault that the finding does not need, or lose one that it needs.
+func TestShrinkKeepsOnlyNeededFaults(t *testing.T) {
 	const what = "planted"
 	plan := Plan{Faults: []Fault{{Kind: CloseLogs}, {Kind: SlowLists}, {Kind: FailAccept}}}
 	run := func(needed ...Kind) func(context.Context, Plan) (Result, error) {
@@ -84,6 +84,6 @@
 	if _, err := Shrink(t.Context(), plan, what, func(context.Context, Plan) (Result, error) {
 		return Result{}, failed
 	}); !errors.Is(err, failed) {
-		t.Errorf("got %v", err)
+		t.Errorf("the error is %v, want that of the run", err)
 	}
 }
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -7,36 +7,38 @@
 	"slices"
 )
 
-// Report sums up the runs of a soak.
+// Report summarizes the runs of a soak.
 type Report struct {
 	Runs     int
 	Requests int64
 	Attempts int64
 	pairs    map[Pair]int
-	findings map[string]*foundIn
+	findings map[string]*findingSummary
 }
 
-// foundIn tells which seeds found something.
-type foundIn struct {
+// findingSummary holds the first of several equal findings and the seeds of their runs.
+type findingSummary struct {
 	seeds []uint64
 	first Finding
 }
 
-// NewReport returns a report of no runs.
-func NewReport() *Report { return &Report{pairs: map[Pair]int{}, findings: map[string]*foundIn{}} }
+// NewReport returns an empty report.
+func NewReport() *Report {
+	return &Report{pairs: map[Pair]int{}, findings: map[string]*findingSummary{}}
+}
 
-// Add adds a run.
+// Add adds the result of a run.
 func (r *Report) Add(result Result) {
 	r.Runs++
 	r.Requests += result.Requests
 	r.Attempts += result.Attempts
-	for _, pair := range result.Plan.Covers() {
+	for _, pair := range result.Plan.CoveredPairs() {
 		r.pairs[pair]++
 	}
 	for _, finding := range result.Findings {
 		found := r.findings[finding.What]
 		if found == nil {
-			found = &foundIn{first: finding}
+			found = &findingSummary{first: finding}
 			r.findings[finding.What] = found
 		}
 		if !slices.Contains(found.seeds, result.Plan.Seed) {
@@ -45,10 +47,11 @@
 	}
 }
 
-// Clean reports whether nothing was found.
+// Clean reports whether no run had a finding.
 func (r *Report) Clean() bool { return len(r.findings) == 0 }
 
-// Write writes the report: what was run, which pairs of kinds came together, and what was found by which seeds.
+// Write writes the report: the number of runs, how often each pair of kinds occurred in a run, and each finding with
+// its seeds.
 func (r *Report) Write(w io.Writer) error {
 	covered := 0
 	for _, pair := range Pairs() {
@@ -77,7 +80,8 @@
 	return nil
 }
 
-// writePairs writes how often each pair came together, a line for each kind and a column for each kind before it.
+// writePairs writes in how many runs each pair occurred, with a line for each kind and a column for each kind before
+// it.
 func (r *Report) writePairs(w io.Writer) error {
 	kinds := Kinds()
 	for i, kind := range kinds {
--- a/internal/soak/report_test.go
+++ b/internal/soak/report_test.go
@@ -11,12 +11,13 @@
 	"springfield/internal/emulator"
 )
 
-func TestReportTellsFindingsAndSeeds(t *testing.T) {
+// Guards against reports that leave out a finding or its seed, or that count runs, requests or pairs wrongly.
+func TestReportListsFindingsAndSeeds(t *testing.T) {
 	report := NewReport()
 	plan := Plan{Seed: 7, Faults: []Fault{{Kind: CloseLogs}, {Kind: SlowLists}}}
 	report.Add(Result{Plan: plan, Requests: 10})
 	if !report.Clean() {
-		t.Error("not clean though nothing was found")
+		t.Error("the report is not clean although no run had a finding")
 	}
 	plan.Seed = 9
 	report.Add(Result{Plan: plan, Requests: 5, Findings: []Finding{{What: "crash", Count: 2, Detail: "ended"}}})
@@ -26,16 +27,16 @@
 	}
 	for _, want := range []string{"2 runs, 15 requests", "1 of 406 pairs", "found: crash; seeds [9]; ended"} {
 		if !strings.Contains(text.String(), want) {
-			t.Errorf("%q is missing in:\n%s", want, text.String())
+			t.Errorf("the report lacks %q:\n%s", want, text.String())
 		}
 	}
 	if report.Clean() {
-		t.Error("clean though something was found")
+		t.Error("the report is clean although a run had a finding")
 	}
 }
 
-// A series runs each seed once and ends at a run that cannot be carried out.
-func TestSeries(t *testing.T) {
+// Guards against seeds that are left out or run twice, and against runs that go on after one has returned an error.
+func TestRunSeedsRunsEachSeedOnceAndStopsAtError(t *testing.T) {
 	seen := map[uint64]int{}
 	run := func(_ context.Context, plan Plan) (Result, error) { return Result{Plan: plan}, nil }
 	if err := RunSeeds(t.Context(), 3, 9, 3, run, func(result Result) { seen[result.Plan.Seed]++ }); err != nil {
@@ -53,12 +54,13 @@
 		return Result{}, failed
 	}, func(Result) {})
 	if !errors.Is(err, failed) || runs.Load() > 2 {
-		t.Errorf("%v after %d runs", err, runs.Load())
+		t.Errorf("the error is %v after %d runs, want that of the run after at most 2", err, runs.Load())
 	}
 }
 
-// A gateway starves when it rejects enough requests for long enough with no attempt in between.
-func TestStarvation(t *testing.T) {
+// Guards against missed and false reports of starvation: a gateway starves if it rejects enough requests for long
+// enough and forwards no attempt in between.
+func TestStarvationRequiresLongSeriesOfRejections(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		requests int
@@ -72,16 +74,16 @@
 		{"few requests", starvationRequests - 1, starvationTime, false, 0},
 		{"an attempt in between", starvationRequests + 1, starvationTime / starvationRequests, true, 0},
 	} {
-		watched := newStarvation()
+		detector := newStarvationDetector()
 		for i := range test.requests {
 			at := time.Hour + time.Duration(i)*test.interval
-			watched.Observe(at, emulator.RequestAnswered{Gateway: 1, Answer: emulator.AnswerRejected})
+			detector.Observe(at, emulator.RequestAnswered{Gateway: 1, Answer: emulator.AnswerRejected})
 			if test.attempt && i == test.requests/2 {
-				watched.Observe(at, emulator.AttemptForwarded{Gateway: 1})
+				detector.Observe(at, emulator.AttemptForwarded{Gateway: 1})
 			}
 		}
-		if watched.starved != test.want {
-			t.Errorf("%s: starved %d times, want %d", test.name, watched.starved, test.want)
+		if detector.starved != test.want {
+			t.Errorf("%s: starved %d times, want %d", test.name, detector.starved, test.want)
 		}
 	}
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	// shutDownTimeout is for all processes to end after SIGTERM at the end of a run.
-	shutDownTimeout = 6 * time.Second
+	// shutdownTimeout is how long all gateway processes together may take to exit after SIGTERM at the end of a run.
+	shutdownTimeout = 6 * time.Second
 
-	// killDelay is added to the time after which a gateway that shuts down is killed, so that one that is a little late
-	// on a busy machine is told from one that does not end.
+	// killDelay is added to the time after which a gateway that shuts down is killed. It distinguishes a gateway that is
+	// slightly late on a busy machine from one that does not exit.
 	killDelay = 1500 * time.Millisecond
 
-	pauseLength    = 150 * time.Millisecond
-	pauseInterval  = 600 * time.Millisecond
-	slowListSpread = 3900 * time.Millisecond // longer than a call to discovery may be silent
-	hour           = time.Hour
-	affected       = 3 // gateways that a fault of single gateways affects
+	pauseLength      = 150 * time.Millisecond
+	pauseInterval    = 600 * time.Millisecond
+	slowListDuration = 3900 * time.Millisecond // longer than a discovery call may be silent, which is 3.5 s
+	maxClockOffset   = time.Hour
+	affectedGateways = 3 // number of gateways that a fault of single gateways affects
 )
 
-// Options are what all runs of a soak share.
+// Options configure the runs of a soak.
 type Options struct {
-	Gateway     string   // program of the gateways, built with the tag faultinjection
-	GatewayArgs []string // its arguments
+	Gateway     string   // path of the gateway program, built with the tag faultinjection
+	GatewayArgs []string // arguments of the gateway program
 	Directory   string   // for the files of one run; it must exist
 	Logger      *slog.Logger
 }
 
-// Result is what one run has found.
+// Result is the result of one run.
 type Result struct {
 	Plan     Plan
 	Findings []Finding
@@ -45,9 +45,9 @@
 	Elapsed  time.Duration
 }
 
-// Finding is a broken rule, or something that a process must not do.
+// Finding is a broken rule or another failure of a gateway.
 type Finding struct {
-	What   string // what was broken, the same for equal findings
+	What   string // kind of failure; findings of the same kind count as equal
 	Count  int
 	Detail string
 }
@@ -57,20 +57,20 @@
 
 // runner carries out one run.
 type runner struct {
-	plan    Plan
-	options Options
-	world   *loopback.World
-	clients clients
-	random  *rand.Rand
-	ctx     context.Context // ends with the load
+	plan          Plan
+	options       Options
+	world         *loopback.World
+	faultyClients faultyClients
+	random        *rand.Rand
+	ctx           context.Context // canceled when the load ends
 }
 
-// Run carries out a plan. The error says that the run could not be carried out.
+// Run carries out a plan. It returns an error if the run could not be carried out; failures of gateways are findings.
 func Run(ctx context.Context, plan Plan, options Options) (Result, error) {
-	began := time.Now()
+	started := time.Now()
 	scenario := plan.scenario()
 	checker := invariant.NewChecker(&scenario, invariant.WithSlack(invariant.SocketSlack))
-	starving := newStarvation()
+	starvation := newStarvationDetector()
 	var last time.Duration
 	world, err := loopback.Start(ctx, loopback.Options{
 		Scenario:    scenario,
@@ -81,7 +81,7 @@
 		ColdStart:   plan.has(ClockOffset),
 		KillDelay:   killDelay,
 		Directory:   options.Directory,
-		Observer:    emulator.Observers{checker, starving, lastObserved{&last}},
+		Observer:    emulator.Observers{checker, starvation, lastObservation{&last}},
 		Logger:      options.Logger,
 	})
 	if err != nil {
@@ -90,40 +90,40 @@
 	loadCtx, endLoad := context.WithCancel(ctx)
 	r := &runner{plan: plan, options: options, world: world, random: rand.New(rand.NewPCG(plan.Seed, 2)), ctx: loadCtx}
 	for _, fault := range plan.Faults {
-		r.clients.running.Go(func() { r.inject(fault) })
+		r.faultyClients.goroutines.Go(func() { r.inject(fault) })
 	}
 	summary, driveErr := world.Drive(ctx)
 	endLoad()
-	r.clients.running.Wait()
-	remaining := world.ShutDownGateways(shutDownTimeout)
+	r.faultyClients.goroutines.Wait()
+	remaining := world.ShutDownGateways(shutdownTimeout)
 	world.Close()
-	result := Result{Plan: plan, Requests: summary.Requests, Attempts: summary.Attempts, Elapsed: time.Since(began)}
+	result := Result{Plan: plan, Requests: summary.Requests, Attempts: summary.Attempts, Elapsed: time.Since(started)}
 	if ctx.Err() != nil {
 		return result, ctx.Err()
 	}
-	result.Findings = r.findings(checker.Finish(last), summary, remaining, starving.starved, driveErr)
+	result.Findings = r.findings(checker.Finish(last), summary, remaining, starvation.starved, driveErr)
 	return result, nil
 }
 
-// lastObserved notes the time of the last observation.
-type lastObserved struct{ at *time.Duration }
+// lastObservation records the time of the last observation.
+type lastObservation struct{ at *time.Duration }
 
 // Observe implements emulator.Observer.
-func (l lastObserved) Observe(at time.Duration, _ emulator.Observation) { *l.at = at }
+func (l lastObservation) Observe(at time.Duration, _ emulator.Observation) { *l.at = at }
 
-// clockOffset is by how much the clocks of the endpoints and of the gateways differ in a run.
+// clockOffset returns the difference between the clocks of the endpoints and of the gateways in a run.
 func (p *Plan) clockOffset() time.Duration {
 	switch {
 	case !p.has(ClockOffset), p.Seed%3 == 0:
 		return 0
 	case p.Seed%3 == 1:
-		return hour
+		return maxClockOffset
 	default:
-		return -hour
+		return -maxClockOffset
 	}
 }
 
-// pause waits for a time. It reports false if the load ends before.
+// pause waits for length. It returns false if the load ends before that.
 func (r *runner) pause(length time.Duration) bool {
 	select {
 	case <-time.After(length):
@@ -133,22 +133,22 @@
 	}
 }
 
-// some returns a few gateways, drawn from the seed and the fault.
-func (r *runner) some(fault Fault) []int {
+// pickGateways returns the gateways that a fault affects, selected at random by the seed and the start of the fault.
+func (r *runner) pickGateways(fault Fault) []int {
 	random := rand.New(rand.NewPCG(r.plan.Seed, uint64(fault.At)))
-	return random.Perm(r.plan.Gateways)[:affected]
+	return random.Perm(r.plan.Gateways)[:affectedGateways]
 }
 
-// inject carries out a fault that the scenario's schedule does not have.
+// inject carries out a fault that the scenario's fault schedule does not support.
 func (r *runner) inject(fault Fault) {
 	if fault.Kind.isScheduled() || fault.Kind == ClockOffset || !r.pause(fault.At) {
 		return
 	}
 	addresses := r.world.Addresses().Gateways
 	switch fault.Kind {
-	case SlowLists: // to the end of the load, for processes that start without a list
-		r.world.SlowLists(slowListSpread, loadLength)
-		for _, gateway := range r.some(fault) {
+	case SlowLists: // lasts to the end of the load, because gateways also start without a list
+		r.world.SlowLists(slowListDuration, loadLength)
+		for _, gateway := range r.pickGateways(fault) {
 			r.world.RestartWithoutList(gateway)
 		}
 		return
@@ -156,16 +156,16 @@
 		r.world.SpoilBytes(failFactor, fault.Length)
 		return
 	}
-	for place, gateway := range r.some(fault) {
-		r.clients.running.Go(func() { r.injectAt(fault, place, gateway, addresses[gateway].Listen) })
+	for position, gateway := range r.pickGateways(fault) {
+		r.faultyClients.goroutines.Go(func() { r.injectAt(fault, position, gateway, addresses[gateway].Listen) })
 	}
 }
 
 // injectAt carries out a fault at one gateway.
-func (r *runner) injectAt(fault Fault, place, gateway int, address string) {
+func (r *runner) injectAt(fault Fault, position, gateway int, address string) {
 	switch fault.Kind {
 	case PauseGateways:
-		for left := fault.Length; left > 0; left -= pauseInterval {
+		for remaining := fault.Length; remaining > 0; remaining -= pauseInterval {
 			r.world.PauseGateway(gateway, pauseLength)
 			if !r.pause(pauseInterval) {
 				return
@@ -173,55 +173,58 @@
 		}
 	case CloseLogs:
 		r.world.CloseLog(gateway)
-		r.world.HalfWriteConfig(gateway, fault.Length/2) // so that there is something to log
+		r.world.HalfWriteConfig(gateway, fault.Length/2) // makes the gateway write to its log
 	case StallLogs:
 		r.world.StallLog(gateway, fault.Length)
-		r.world.HalfWriteConfig(gateway, fault.Length/2)
+		r.world.HalfWriteConfig(gateway, fault.Length/2) // makes the gateway write to its log
 	case HalfConfigs:
-		r.world.HalfWriteConfig(gateway, min(fault.Length, rereadTime))
+		r.world.HalfWriteConfig(gateway, min(fault.Length, configRereadTime))
 	case FailAccept:
-		r.failCalls(fault, gateway, faultinjection.Accept, acceptErrors[r.choose(place, len(acceptErrors))])
+		r.failCalls(fault, gateway, faultinjection.Accept, acceptErrors[r.errorIndex(position, len(acceptErrors))])
 	case FailConnect:
-		r.failCalls(fault, gateway, faultinjection.Connect, connectErrors[r.choose(place, len(connectErrors))])
+		r.failCalls(fault, gateway, faultinjection.Connect, connectErrors[r.errorIndex(position, len(connectErrors))])
 	case LateConnects:
 		r.world.FailSystemCalls(gateway, faultinjection.Connect+" "+faultinjection.Late, fault.Length)
 	case IdleFlood:
-		if place == 0 {
-			r.clients.flood(address, fault.Length)
+		if position == 0 {
+			r.faultyClients.flood(address, fault.Length)
 		}
 	case StalledClients:
 		for i := range stalledClientCount {
-			r.clients.running.Go(func() { r.clients.stall(address, partialRequests[i%len(partialRequests)]) })
+			r.faultyClients.goroutines.Go(func() { r.faultyClients.stall(address, partialRequests[i%len(partialRequests)]) })
 		}
 	case PipeliningCrowd:
-		for left := fault.Length; left > 0; left -= crowdInterval {
-			r.clients.running.Go(func() { r.clients.pipeline(address, r.mayDie) })
-			r.clients.running.Go(func() { r.clients.garbage(address) })
-			if !r.pause(crowdInterval) {
+		for remaining := fault.Length; remaining > 0; remaining -= pipeliningInterval {
+			r.faultyClients.goroutines.Go(func() { r.faultyClients.pipeline(address, r.gatewaysAreKilled) })
+			r.faultyClients.goroutines.Go(func() { r.faultyClients.sendGarbage(address) })
+			if !r.pause(pipeliningInterval) {
 				return
 			}
 		}
 	}
 }
 
-// failCalls makes a system call of a gateway fail for a part of a fault's time: such failures last for a moment.
+// failCalls makes a system call of a gateway fail for a quarter of the length of the fault, because such failures are
+// brief.
 func (r *runner) failCalls(fault Fault, gateway int, call, failure string) {
-	const share = 4
-	r.world.FailSystemCalls(gateway, call+" "+failure, fault.Length/share)
+	const divisor = 4
+	r.world.FailSystemCalls(gateway, call+" "+failure, fault.Length/divisor)
 }
 
-// rereadTime is for how long a gateway reads a file again that it cannot use, less a reserve.
-const rereadTime = 1500 * time.Millisecond
+// configRereadTime is shorter than the 2 s for which a gateway rereads a configuration file that it cannot use. The
+// difference is a margin.
+const configRereadTime = 1500 * time.Millisecond
 
-// The errors that are injected: one for each gateway that a fault affects.
+// The errors that are injected into system calls. Each affected gateway gets one of them.
 var (
 	acceptErrors  = []string{"ENOBUFS", "ENOMEM", "EPROTO", "ENETUNREACH", "EHOSTUNREACH", "ENETDOWN", "EMFILE", "ENFILE"}
 	connectErrors = []string{"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EADDRNOTAVAIL", "ENETUNREACH"}
 )
 
-func (r *runner) choose(place, count int) int {
-	return int((r.plan.Seed + uint64(place)) % uint64(count))
+// errorIndex selects one of count errors by the seed and by the position of the gateway among those affected.
+func (r *runner) errorIndex(position, count int) int {
+	return int((r.plan.Seed + uint64(position)) % uint64(count))
 }
 
-// mayDie reports whether gateways are killed in the run, which ends what they have accepted.
-func (r *runner) mayDie() bool { return r.plan.has(Kind(emulator.FaultKillGateways)) }
+// gatewaysAreKilled reports whether the run kills gateways, which ends the connections that they have accepted.
+func (r *runner) gatewaysAreKilled() bool { return r.plan.has(Kind(emulator.FaultKillGateways)) }
--- a/internal/soak/series.go
+++ b/internal/soak/run_seeds.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// RunSeeds runs a plan for each seed from first to last, a few at a time, and calls done after each run, one at a time.
-// It ends early with ctx or at the first run that cannot be carried out.
+// RunSeeds runs the plan of each seed from first to last, at most parallel at a time, and calls done after each run,
+// never concurrently. It stops early when ctx ends or when a run cannot be carried out.
 func RunSeeds(ctx context.Context, first, last uint64, parallel int, run func(context.Context, Plan) (Result, error),
 	done func(Result)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
--- a/internal/soak/shrink.go
+++ b/internal/soak/shrink.go
@@ -2,25 +2,25 @@
 
 import "context"
 
-// Shrink removes faults from a plan for as long as a run of the rest finds the same. A finding that depends on time may
-// not show again; each removal is therefore tried a few times before it is given up.
+// Shrink removes faults from a plan as long as a run of the remaining faults has the same finding. A finding that
+// depends on timing may not recur in each run; each removal is therefore tried several times before the fault is kept.
 func Shrink(ctx context.Context, plan Plan, what string,
 	run func(context.Context, Plan) (Result, error)) (Plan, error) {
 	const tries = 3
 	for index := 0; index < len(plan.Faults); {
-		less, found := plan.without(index), false
+		reduced, found := plan.without(index), false
 		for range tries {
-			result, err := run(ctx, less)
+			result, err := run(ctx, reduced)
 			if err != nil {
 				return plan, err
 			}
-			if result.finds(what) {
+			if result.hasFinding(what) {
 				found = true
 				break
 			}
 		}
 		if found {
-			plan = less
+			plan = reduced
 		} else {
 			index++
 		}
@@ -28,8 +28,8 @@
 	return plan, nil
 }
 
-// finds reports whether a run has found something.
-func (r *Result) finds(what string) bool {
+// hasFinding reports whether the run has a finding of the given kind.
+func (r *Result) hasFinding(what string) bool {
 	for _, finding := range r.Findings {
 		if finding.What == what {
 			return true
--- a/internal/soak/starvation.go
+++ b/internal/soak/starvation.go
@@ -6,32 +6,35 @@
 	"springfield/internal/emulator"
 )
 
-// A gateway that rejects all that it gets for starvationTime, at least starvationRequests, with no attempt in between,
-// starves. The operators count the same, with four seconds; a list may take nearly as long here.
+// A gateway starves if it rejects all requests for at least starvationTime, at least starvationRequests of them, and
+// forwards no attempt in between. The limit in operation is 4 s; it is longer here because an endpoint list may take
+// nearly 4 s (slowListDuration).
 const (
 	starvationTime     = 5 * time.Second
 	starvationRequests = 15
 )
 
-// starvation is an observer that looks for gateways that starve.
-type starvation struct {
-	gateways map[int]*hungry
-	starved  int // times that a gateway has starved
+// starvationDetector is an observer that detects gateways that starve.
+type starvationDetector struct {
+	gateways map[int]*rejectionSeries
+	starved  int // number of times that a gateway has starved
 }
 
-// hungry is a gateway's present series of rejections.
-type hungry struct {
+// rejectionSeries is the current series of rejections of a gateway.
+type rejectionSeries struct {
 	since    time.Duration
 	rejected int
 	counted  bool
 }
 
-var _ emulator.Observer = (*starvation)(nil)
+var _ emulator.Observer = (*starvationDetector)(nil)
 
-func newStarvation() *starvation { return &starvation{gateways: map[int]*hungry{}} }
+func newStarvationDetector() *starvationDetector {
+	return &starvationDetector{gateways: map[int]*rejectionSeries{}}
+}
 
 // Observe implements emulator.Observer.
-func (s *starvation) Observe(at time.Duration, observation emulator.Observation) {
+func (s *starvationDetector) Observe(at time.Duration, observation emulator.Observation) {
 	switch o := observation.(type) {
 	case emulator.AttemptForwarded:
 		delete(s.gateways, o.Gateway)
@@ -39,15 +42,15 @@
 		delete(s.gateways, o.Gateway)
 	case emulator.RequestAnswered:
 		if o.Answer == emulator.AnswerRejected {
-			s.reject(at, o.Gateway)
+			s.recordRejection(at, o.Gateway)
 		}
 	}
 }
 
-func (s *starvation) reject(at time.Duration, gateway int) {
+func (s *starvationDetector) recordRejection(at time.Duration, gateway int) {
 	series := s.gateways[gateway]
 	if series == nil {
-		series = &hungry{since: at}
+		series = &rejectionSeries{since: at}
 		s.gateways[gateway] = series
 	}
 	series.rejected++
