--- a/internal/report/doc.go
+++ b/internal/report/doc.go
@@ -1,3 +1,3 @@
-// Package report shows results of emulator runs: as one self-contained HTML page with tables and plots, and each plot
-// as an SVG or PNG picture. The page holds no scripts and refers to nothing outside itself.
+// Package report renders results of emulator runs as a self-contained HTML page with tables and plots, and single plots
+// as SVG or PNG pictures. The page contains no scripts and no references to other files.
 package report
--- a/internal/report/endpoint_table.go
+++ b/internal/report/endpoint_table.go
@@ -7,13 +7,14 @@
 	"springfield/internal/measure"
 )
 
-// maxEndpointRows is how many endpoints a table shows; of more, the most and the least loaded are shown.
+// maxEndpointRows is the maximum number of endpoints in a table. If there are more, the table shows the most and the
+// least loaded ones.
 const maxEndpointRows = 20
 
 // endpointTable holds the rows of the table of endpoints, the most loaded first.
 type endpointTable struct {
 	Total   int
-	Omitted int // between Most and Least
+	Omitted int // number of endpoints between Most and Least that are not shown
 	Most    []measure.EndpointLoad
 	Least   []measure.EndpointLoad
 }
--- a/internal/report/faults.go
+++ b/internal/report/faults.go
@@ -11,17 +11,18 @@
 	"springfield/internal/measure"
 )
 
-// shortestFaultShare is the width of the shortest fault, as a share of the plot's, so that one of an instant shows.
-const shortestFaultShare = 0.005
+// minFaultWidthShare is the minimum width of a shaded fault as a share of the width of the plot, so that faults without
+// a length are visible.
+const minFaultWidthShare = 0.005
 
-// addFaults shades the time of each fault and marks it with its number in the table of faults.
+// addFaults shades the time span of each fault and labels it with its number in the table of faults.
 func addFaults(drawing *plot.Plot, faults []measure.FaultSpan, limits bounds) error {
 	for i := range faults {
 		begin, end := max(0, faults[i].Begin), min(limits.seconds, faults[i].End)
 		if end < begin {
 			continue
 		}
-		end = min(limits.seconds, max(end, begin+limits.seconds*shortestFaultShare))
+		end = min(limits.seconds, max(end, begin+limits.seconds*minFaultWidthShare))
 		area, err := plotter.NewPolygon(plotter.XYs{
 			{X: begin, Y: 0}, {X: end, Y: 0}, {X: end, Y: limits.top}, {X: begin, Y: limits.top},
 		})
@@ -48,7 +49,7 @@
 	}
 	labels, err := plotter.NewLabels(numbers)
 	if err != nil {
-		return fmt.Errorf("numbers of faults: %w", err)
+		return fmt.Errorf("labels of faults: %w", err)
 	}
 	for i := range labels.TextStyle {
 		labels.TextStyle[i] = textStyle(labelSize)
--- a/internal/report/figure.go
+++ b/internal/report/figure.go
@@ -7,13 +7,13 @@
 	"springfield/internal/measure"
 )
 
-// NamedResult is a result under the name that the report shows.
+// NamedResult is a result with the name that the report shows for it.
 type NamedResult struct {
 	Name   string
 	Result measure.Result
 }
 
-// Figure names a kind of plot.
+// Figure is the name of a kind of plot.
 type Figure string
 
 // The kinds of plot.
@@ -26,7 +26,7 @@
 	FigureEndpointLoad Figure = "endpoint-load"
 )
 
-// Errors of the plots.
+// The errors for invalid arguments.
 var (
 	ErrUnknownFigure = errors.New("unknown figure")
 	ErrNoResults     = errors.New("no results to report")
@@ -37,25 +37,25 @@
 	name    Figure
 	title   string
 	caption string
-	unit    string // of the vertical axis
+	unit    string // unit of the vertical axis
 	curves  func(*measure.Result) []curve
 }
 
 func figures() []figure {
 	return []figure{
-		{FigureThroughput, "Throughput", "Tries of clients, and how they ended, in each second.", "tries per second",
+		{FigureThroughput, "Throughput", "Tries of clients and their outcomes in each second.", "tries per second",
 			throughputCurves},
 		{FigureValue, "Value", "Share of the requested value that was earned, by the second of the first try.", "share",
 			valueCurves},
-		{FigureLatency, "Latency", "Time from the first try to the response, of the requests served in each second.",
+		{FigureLatency, "Latency", "Time from the first try to the response, for the requests served in each second.",
 			"milliseconds", latencyCurves},
 		{FigureAdmissions, "Admissions by plan",
-			"Units forwarded in each second: inside the quota (solid) and over it (dashed).", "units per second",
+			"Units forwarded in each second, inside the quota (solid) and over it (dashed).", "units per second",
 			admissionCurves},
 		{FigureAttempts, "Attempts", "Attempts that gateways sent to endpoints, and connections opened for them.",
 			"per second", attemptCurves},
 		{FigureEndpointLoad, "Endpoint load",
-			"Attempts received by the least loaded, the median and the most loaded endpoint that is up.",
+			"Attempts received by the least loaded, the median and the most loaded of the endpoints that are up.",
 			"attempts per second", endpointLoadCurves},
 	}
 }
@@ -63,16 +63,16 @@
 // Figures returns all kinds of plot in the order of the report.
 func Figures() []Figure {
 	var names []Figure
-	for _, described := range figures() {
-		names = append(names, described.name)
+	for _, definition := range figures() {
+		names = append(names, definition.name)
 	}
 	return names
 }
 
-func figureOf(name Figure) (*figure, error) {
-	for _, described := range figures() {
-		if described.name == name {
-			return &described, nil
+func figureByName(name Figure) (*figure, error) {
+	for _, definition := range figures() {
+		if definition.name == name {
+			return &definition, nil
 		}
 	}
 	return nil, fmt.Errorf("%w: %q", ErrUnknownFigure, name)
@@ -86,8 +86,8 @@
 	dashed bool
 }
 
-// curveOf makes a curve of a figure of each second.
-func curveOf(label string, color int, result *measure.Result, value func(*measure.Second) float64) curve {
+// newCurve returns a curve with the value of each second of a result.
+func newCurve(label string, color int, result *measure.Result, value func(*measure.Second) float64) curve {
 	values := make([]float64, len(result.Timeline))
 	for i := range result.Timeline {
 		values[i] = value(&result.Timeline[i])
@@ -97,17 +97,17 @@
 
 func throughputCurves(result *measure.Result) []curve {
 	return []curve{
-		curveOf("submitted", colorNeutral, result, func(s *measure.Second) float64 { return float64(s.Tries) }),
-		curveOf("served", colorGood, result, func(s *measure.Second) float64 { return float64(s.Served) }),
-		curveOf("rejected", colorWarning, result, func(s *measure.Second) float64 { return float64(s.Rejected) }),
-		curveOf("failed or missing", colorBad, result, func(s *measure.Second) float64 {
+		newCurve("submitted", colorNeutral, result, func(s *measure.Second) float64 { return float64(s.Tries) }),
+		newCurve("served", colorGood, result, func(s *measure.Second) float64 { return float64(s.Served) }),
+		newCurve("rejected", colorWarning, result, func(s *measure.Second) float64 { return float64(s.Rejected) }),
+		newCurve("failed or missing", colorBad, result, func(s *measure.Second) float64 {
 			return float64(s.Failed + s.Missing + s.Spoilt)
 		}),
 	}
 }
 
 func valueCurves(result *measure.Result) []curve {
-	return []curve{curveOf("earned / requested", colorGood, result, func(s *measure.Second) float64 {
+	return []curve{newCurve("earned / requested", colorGood, result, func(s *measure.Second) float64 {
 		if s.RequestedValue <= 0 {
 			return missingValue()
 		}
@@ -125,9 +125,9 @@
 		}
 	}
 	return []curve{
-		curveOf("p50", colorGood, result, percentile(func(l *measure.Latency) float64 { return l.P50 })),
-		curveOf("p90", colorWarning, result, percentile(func(l *measure.Latency) float64 { return l.P90 })),
-		curveOf("p99", colorBad, result, percentile(func(l *measure.Latency) float64 { return l.P99 })),
+		newCurve("p50", colorGood, result, percentile(func(l *measure.Latency) float64 { return l.P50 })),
+		newCurve("p90", colorWarning, result, percentile(func(l *measure.Latency) float64 { return l.P90 })),
+		newCurve("p99", colorBad, result, percentile(func(l *measure.Latency) float64 { return l.P99 })),
 	}
 }
 
@@ -135,8 +135,8 @@
 	var curves []curve
 	for i := range result.Plans {
 		name := result.Plans[i].Name
-		inQuota := curveOf(name, i, result, func(s *measure.Second) float64 { return s.Plans[i].InQuotaUnits })
-		over := curveOf(name+", over", i, result, func(s *measure.Second) float64 { return s.Plans[i].OverQuotaUnits })
+		inQuota := newCurve(name, i, result, func(s *measure.Second) float64 { return s.Plans[i].InQuotaUnits })
+		over := newCurve(name+", over quota", i, result, func(s *measure.Second) float64 { return s.Plans[i].OverQuotaUnits })
 		over.dashed = true
 		curves = append(curves, inQuota, over)
 	}
@@ -145,9 +145,9 @@
 
 func attemptCurves(result *measure.Result) []curve {
 	return []curve{
-		curveOf("forwarded", colorGood, result, func(s *measure.Second) float64 { return float64(s.Forwarded) }),
-		curveOf("retries", colorBad, result, func(s *measure.Second) float64 { return float64(s.Retries) }),
-		curveOf("new connections", colorWarning, result, func(s *measure.Second) float64 {
+		newCurve("forwarded", colorGood, result, func(s *measure.Second) float64 { return float64(s.Forwarded) }),
+		newCurve("retries", colorBad, result, func(s *measure.Second) float64 { return float64(s.Retries) }),
+		newCurve("new connections", colorWarning, result, func(s *measure.Second) float64 {
 			return float64(s.NewConnections)
 		}),
 	}
@@ -155,9 +155,9 @@
 
 func endpointLoadCurves(result *measure.Result) []curve {
 	return []curve{
-		curveOf("most", colorBad, result, func(s *measure.Second) float64 { return float64(s.EndpointAttempts.Max) }),
-		curveOf("median", colorGood, result, func(s *measure.Second) float64 { return s.EndpointAttempts.Median }),
-		curveOf("least", colorNeutral, result, func(s *measure.Second) float64 {
+		newCurve("most", colorBad, result, func(s *measure.Second) float64 { return float64(s.EndpointAttempts.Max) }),
+		newCurve("median", colorGood, result, func(s *measure.Second) float64 { return s.EndpointAttempts.Median }),
+		newCurve("least", colorNeutral, result, func(s *measure.Second) float64 {
 			return float64(s.EndpointAttempts.Min)
 		}),
 	}
--- a/internal/report/format.go
+++ b/internal/report/format.go
@@ -8,7 +8,7 @@
 
 func formatPercent(share float64) string { return strconv.FormatFloat(100*share, 'f', 1, 64) + "%" }
 
-// formatNumber writes a number with about four significant digits and no exponent.
+// formatNumber formats a number with about four significant digits and no exponent.
 func formatNumber(value float64) string {
 	switch magnitude := math.Abs(value); {
 	case magnitude >= 1000:
@@ -22,7 +22,7 @@
 	}
 }
 
-// formatCount writes a whole number with its thousands set apart.
+// formatCount formats a whole number with commas between groups of three digits.
 func formatCount(value int64) string {
 	if value < 0 {
 		return "-" + formatCount(-value)
--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	_ "embed" // for the page
+	_ "embed" // embeds page.html
 	"fmt"
 	"html/template"
 	"io"
@@ -23,31 +23,31 @@
 	"groups":  func(heading string, groups []measure.Group) groupTable { return groupTable{heading, groups} },
 }).Parse(pageText))
 
-// page is what the template shows.
+// page holds the data that the template of the page shows.
 type page struct {
 	Title     string
 	Names     []string
 	Summary   []section
 	Figures   []figureRow
 	Results   []resultTables
-	Columns   int // of plots side by side
+	Columns   int // number of plots side by side
 	HasFaults bool
 }
 
-// figureRow is one kind of plot of all results.
+// figureRow holds the plots of one kind, one for each result.
 type figureRow struct {
 	Title   string
 	Caption string
 	Plots   []inlinePlot
 }
 
-// inlinePlot is the plot of one result.
+// inlinePlot is the plot of one result as an svg element.
 type inlinePlot struct {
 	Name string
 	SVG  template.HTML
 }
 
-// resultTables holds what the tables of one result show.
+// resultTables holds the data that the tables of one result show.
 type resultTables struct {
 	Name      string
 	Plans     []measure.Group
@@ -62,7 +62,7 @@
 	Groups  []measure.Group
 }
 
-// maxColumns is how many plots stand side by side on a wide screen.
+// maxColumns is the maximum number of plots side by side on a wide screen.
 const maxColumns = 3
 
 // WriteHTML writes a page that shows the results side by side.
@@ -74,9 +74,9 @@
 	if err != nil {
 		return err
 	}
-	var buffer bytes.Buffer // so that an error leaves no half page behind
+	var buffer bytes.Buffer // avoids writing a part of the page if the template fails
 	if err := pageTemplate.Execute(&buffer, content); err != nil {
-		return fmt.Errorf("report page: %w", err)
+		return fmt.Errorf("render report page: %w", err)
 	}
 	if _, err := buffer.WriteTo(w); err != nil {
 		return fmt.Errorf("write report page: %w", err)
@@ -87,7 +87,7 @@
 func newPage(results []NamedResult) (*page, error) {
 	content := &page{
 		Title:   "Springfield report: " + results[0].Result.Scenario,
-		Summary: summaryOf(results),
+		Summary: newSummary(results),
 		Columns: min(maxColumns, len(results)),
 	}
 	for i := range results {
@@ -102,8 +102,8 @@
 			Endpoints: newEndpointTable(result.EndpointLoad),
 		})
 	}
-	for _, described := range figures() {
-		row, err := described.row(results)
+	for _, definition := range figures() {
+		row, err := definition.row(results)
 		if err != nil {
 			return nil, err
 		}
@@ -112,10 +112,10 @@
 	return content, nil
 }
 
-// row draws the figure of all results with the same axes.
+// row draws the figure for each result, all with the same axes.
 func (f *figure) row(results []NamedResult) (figureRow, error) {
 	row := figureRow{Title: f.title, Caption: f.caption}
-	limits := f.boundsOf(results)
+	limits := f.commonBounds(results)
 	for i := range results {
 		drawing, err := f.plot(&results[i].Result, limits)
 		if err != nil {
--- a/internal/report/legend.go
+++ b/internal/report/legend.go
@@ -7,7 +7,7 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// Measures of a legend.
+// Dimensions of a legend.
 const (
 	legendRowHeight  = vg.Length(13)
 	legendLineLength = vg.Length(20)
@@ -15,7 +15,7 @@
 	legendEntryGap   = vg.Length(14)
 )
 
-// legendRow holds the entries that stand side by side.
+// legendRow holds the entries of one row of a legend.
 type legendRow []curve
 
 // legendRows breaks the entries of a legend into rows of at most the given width.
@@ -42,7 +42,7 @@
 	return legendLineLength + legendTextGap + textStyle(labelSize).Width(entry.label) + legendEntryGap
 }
 
-// drawLegend draws the rows from the top of the canvas.
+// drawLegend draws the rows downwards from the top of the canvas.
 func drawLegend(canvas draw.Canvas, rows []legendRow) {
 	style := textStyle(labelSize)
 	style.YAlign = text.YCenter
@@ -58,7 +58,7 @@
 	}
 }
 
-// lineStyle is how a curve is drawn.
+// lineStyle returns the color, the width and the dashes with which a curve is drawn.
 func (c *curve) lineStyle() draw.LineStyle {
 	style := draw.LineStyle{Color: palette[c.color%len(palette)], Width: curveWidth}
 	if c.dashed {
--- a/internal/report/picture.go
+++ b/internal/report/picture.go
@@ -10,11 +10,11 @@
 	"gonum.org/v1/plot/text"
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
-	_ "gonum.org/v1/plot/vg/vgimg" // the format PNG
-	_ "gonum.org/v1/plot/vg/vgsvg" // the format SVG
+	_ "gonum.org/v1/plot/vg/vgimg" // registers the format PNG
+	_ "gonum.org/v1/plot/vg/vgsvg" // registers the format SVG
 )
 
-// Sizes of the plots.
+// Dimensions of a picture.
 const (
 	pictureWidth  = 6.2 * vg.Inch
 	pictureHeight = 3 * vg.Inch
@@ -22,7 +22,7 @@
 	titleGap      = vg.Length(3)
 	legendIndent  = vg.Length(8)
 	legendGap     = vg.Length(4)
-	rightMargin   = vg.Length(10) // for half of the last label of the horizontal axis
+	rightMargin   = vg.Length(10) // leaves room for half of the last label of the horizontal axis
 )
 
 // WriteSVG writes one plot of a result as an SVG picture.
@@ -36,24 +36,24 @@
 }
 
 func writePicture(w io.Writer, name Figure, result *NamedResult, format string) error {
-	described, err := figureOf(name)
+	definition, err := figureByName(name)
 	if err != nil {
 		return err
 	}
-	drawing, err := described.plot(&result.Result, described.boundsOf([]NamedResult{*result}))
+	drawing, err := definition.plot(&result.Result, definition.commonBounds([]NamedResult{*result}))
 	if err != nil {
 		return err
 	}
 	return (&picture{
-		title:  described.title + ", " + result.Name,
-		curves: described.curves(&result.Result),
+		title:  definition.title + ", " + result.Name,
+		curves: definition.curves(&result.Result),
 		plot:   drawing,
 	}).encode(w, format)
 }
 
 // picture is a plot with its legend above it, and its title above both.
 type picture struct {
-	title  string // "": none
+	title  string // "": no title
 	curves []curve
 	plot   *plot.Plot
 }
@@ -87,7 +87,7 @@
 	p.plot.Draw(draw.Crop(area, 0, 0, 0, -vg.Length(len(rows))*legendRowHeight-legendGap))
 }
 
-// inlineSVG returns a plot as an svg element for a page, without the prolog of a file.
+// inlineSVG returns the picture as an svg element for an HTML page, without the XML prolog of an SVG file.
 func (p *picture) inlineSVG() (string, error) {
 	var buffer bytes.Buffer
 	if err := p.encode(&buffer, "svg"); err != nil {
--- a/internal/report/plot.go
+++ b/internal/report/plot.go
@@ -12,7 +12,7 @@
 	"springfield/internal/measure"
 )
 
-// Indexes of the palette that mean something. Plans take the colors in turn.
+// Indexes of the palette's colors with a fixed meaning. Curves of plans use the colors of the palette in turn.
 const (
 	colorGood = iota
 	colorWarning
@@ -20,7 +20,7 @@
 	colorNeutral
 )
 
-// palette can be told apart with the common kinds of color blindness.
+// palette holds colors that people with the common kinds of color blindness can distinguish.
 var palette = []color.Color{
 	color.RGBA{R: 0x00, G: 0x72, B: 0xB2, A: 0xFF}, // blue
 	color.RGBA{R: 0xE6, G: 0x9F, B: 0x00, A: 0xFF}, // orange
@@ -35,7 +35,7 @@
 var (
 	textColor       = color.RGBA{R: 0x1C, G: 0x1C, B: 0x1C, A: 0xFF}
 	gridColor       = color.RGBA{R: 0xD8, G: 0xD8, B: 0xD8, A: 0xFF}
-	faultColor      = color.RGBA{R: 0xF6, G: 0xE3, B: 0xDC, A: 0xFF} // light enough for curves and grid to show on it
+	faultColor      = color.RGBA{R: 0xF6, G: 0xE3, B: 0xDC, A: 0xFF} // light enough to keep curves and grid visible
 	faultLabelColor = color.RGBA{R: 0x8A, G: 0x3B, B: 0x22, A: 0xFF}
 )
 
@@ -44,34 +44,34 @@
 	labelSize      = vg.Length(9.5)
 	endOfLoadWidth = vg.Length(0.8)
 	titleSize      = vg.Length(11)
-	headroom       = 1.1 // the vertical axis is so much longer than the curves, for the numbers of the faults
-	minimumTop     = 1.0
+	headroomFactor = 1.1 // length of the vertical axis over the highest value; leaves room for the labels of faults
+	minTop         = 1.0
 )
 
-// missingValue leaves a gap in a curve.
+// missingValue returns the value that leaves a gap in a curve.
 func missingValue() float64 { return math.NaN() }
 
-// bounds are the upper ends of the axes.
+// bounds holds the upper ends of the axes.
 type bounds struct {
 	seconds float64
 	top     float64
 }
 
-// boundsOf returns the bounds within which the plots of a figure have room for all results.
-func (f *figure) boundsOf(results []NamedResult) bounds {
+// commonBounds returns the bounds that fit the curves of a figure for all results.
+func (f *figure) commonBounds(results []NamedResult) bounds {
 	limits := bounds{seconds: 1, top: 0}
 	for i := range results {
 		result := &results[i].Result
 		limits.seconds = max(limits.seconds, float64(len(result.Timeline)))
-		for _, drawn := range f.curves(result) {
-			for _, value := range drawn.values {
+		for _, c := range f.curves(result) {
+			for _, value := range c.values {
 				if !math.IsNaN(value) {
 					limits.top = max(limits.top, value)
 				}
 			}
 		}
 	}
-	limits.top = max(limits.top, minimumTop) * headroom
+	limits.top = max(limits.top, minTop) * headroomFactor
 	return limits
 }
 
@@ -88,8 +88,8 @@
 	if err := addEndOfLoad(drawing, result.LoadSeconds, limits); err != nil {
 		return nil, err
 	}
-	for _, drawn := range f.curves(result) {
-		if err := addCurve(drawing, drawn); err != nil {
+	for _, c := range f.curves(result) {
+		if err := addCurve(drawing, c); err != nil {
 			return nil, fmt.Errorf("figure %s: %w", f.name, err)
 		}
 	}
@@ -108,34 +108,35 @@
 	drawing.Y.Min, drawing.Y.Max = 0, limits.top
 }
 
-// addCurve adds a line for each stretch without a gap. A value stands in the middle of its second.
-func addCurve(drawing *plot.Plot, drawn curve) error {
-	for _, points := range stretches(drawn.values) {
+// addCurve adds a line for each segment of a curve without a gap. A value is drawn at the middle of its second.
+func addCurve(drawing *plot.Plot, c curve) error {
+	for _, points := range segments(c.values) {
 		line, err := plotter.NewLine(points)
 		if err != nil {
-			return fmt.Errorf("curve %q: %w", drawn.label, err)
+			return fmt.Errorf("curve %q: %w", c.label, err)
 		}
-		line.LineStyle = drawn.lineStyle()
+		line.LineStyle = c.lineStyle()
 		drawing.Add(line)
 	}
 	return nil
 }
 
-func stretches(values []float64) []plotter.XYs {
+// segments splits the values of a curve at its gaps and returns the points of each part.
+func segments(values []float64) []plotter.XYs {
 	var result []plotter.XYs
-	var present plotter.XYs
+	var current plotter.XYs
 	for second, value := range values {
 		if math.IsNaN(value) {
-			if len(present) > 0 {
-				result = append(result, present)
+			if len(current) > 0 {
+				result = append(result, current)
 			}
-			present = nil
+			current = nil
 			continue
 		}
-		present = append(present, plotter.XY{X: float64(second) + 0.5, Y: value})
+		current = append(current, plotter.XY{X: float64(second) + 0.5, Y: value})
 	}
-	if len(present) > 0 {
-		result = append(result, present)
+	if len(current) > 0 {
+		result = append(result, current)
 	}
 	return result
 }
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -21,7 +21,7 @@
 	hostileName  = `<script>alert("&")</script>`
 )
 
-// recordedResult records a short run in which every fifth request is rejected.
+// recordedResult returns the result of a short run in which every fifth request is rejected.
 func recordedResult(planName string) measure.Result {
 	scenario := emulator.Scenario{
 		Name:    "recorded",
@@ -59,6 +59,7 @@
 	return buffer.String()
 }
 
+// Guards against a page that lacks results, plots, faults or the note on omitted endpoints.
 func TestPageShowsResultsSideBySide(t *testing.T) {
 	page := pageOf(t, NamedResult{"first", recordedResult("basic")}, NamedResult{"second", recordedResult("basic")})
 	for _, want := range []string{"320 (80.0%)", "80 (20.0%)", "F1", "resets", "4 more", "end of the load"} {
@@ -71,6 +72,7 @@
 	}
 }
 
+// Guards against a page that contains scripts or loads other files.
 func TestPageIsSelfContained(t *testing.T) {
 	page := pageOf(t, NamedResult{"only", recordedResult("basic")})
 	for _, forbidden := range []string{"<script", "<link", "<img", "@import", "url(", "src=", "<?xml", "<!DOCTYPE svg"} {
@@ -80,39 +82,44 @@
 	}
 }
 
-func TestNamesAreEscaped(t *testing.T) {
+// Guards against names of results or plans that inject markup into the page.
+func TestPageEscapesNames(t *testing.T) {
 	if page := pageOf(t, NamedResult{hostileName, recordedResult(hostileName)}); strings.Contains(page, "<script") {
 		t.Error("the page contains a name that is not escaped")
 	}
 }
 
-func TestPageOfSameResultsIsTheSame(t *testing.T) {
+// Guards against a page that differs between two renderings of equal results.
+func TestPageIsDeterministic(t *testing.T) {
 	first := pageOf(t, NamedResult{"same", recordedResult("basic")})
 	if second := pageOf(t, NamedResult{"same", recordedResult("basic")}); first != second {
 		t.Error("got two different pages of equal results")
 	}
 }
 
-func TestResultWithoutRequests(t *testing.T) {
+// Guards against a failure for results without any request, whose percentiles and shares have no samples.
+func TestPageShowsResultsWithoutRequests(t *testing.T) {
 	scenario := emulator.Scenario{Length: emulator.Duration(time.Second)}
 	empty := measure.NewRecorder(&scenario, testStart).Result(testStart)
 	pageOf(t, NamedResult{"empty", empty}, NamedResult{"zero", measure.Result{}})
 }
 
-func TestNoResults(t *testing.T) {
+// Guards against an empty page when there are no results.
+func TestWriteHTMLRejectsEmptyResults(t *testing.T) {
 	if err := WriteHTML(io.Discard, nil); !errors.Is(err, ErrNoResults) {
 		t.Errorf("got error %v, want %v", err, ErrNoResults)
 	}
 }
 
-func TestPictures(t *testing.T) {
+// Guards against pictures that cannot be decoded, names that are not escaped in SVG, and unknown figures.
+func TestPicturesAreValidAndShowResultName(t *testing.T) {
 	result := NamedResult{"a & b", recordedResult("basic")}
 	for _, name := range Figures() {
-		var drawn, vector bytes.Buffer
-		if err := WritePNG(&drawn, name, &result); err != nil {
+		var raster, vector bytes.Buffer
+		if err := WritePNG(&raster, name, &result); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := png.Decode(&drawn); err != nil {
+		if _, err := png.Decode(&raster); err != nil {
 			t.Errorf("figure %s: %v", name, err)
 		}
 		if err := WriteSVG(&vector, name, &result); err != nil {
@@ -133,7 +140,8 @@
 	}
 }
 
-func TestFormats(t *testing.T) {
+// Guards against wrong rounding, decimals or separators in numbers, percentages and labels of axes.
+func TestNumbersAreFormattedForReaders(t *testing.T) {
 	for got, want := range map[string]string{
 		formatCount(1234567):   "1,234,567",
 		formatCount(-1005):     "-1,005",
@@ -154,16 +162,18 @@
 	}
 }
 
-func TestRoundTicks(t *testing.T) {
+// Guards against labels of an axis at numbers that are not round, or too many of them.
+func TestTicksAreRoundNumbers(t *testing.T) {
 	ticks := roundTicks{}.Ticks(0, 21)
 	if len(ticks) != 5 || ticks[1].Value != 5 || ticks[4].Label != "20" {
 		t.Errorf("got ticks %+v, want 0, 5, 10, 15 and 20", ticks)
 	}
 }
 
-func TestGapsBreakCurves(t *testing.T) {
-	parts := stretches([]float64{1, 2, missingValue(), 3})
-	if len(parts) != 2 || len(parts[0]) != 2 || parts[1][0].X != 3.5 {
-		t.Errorf("got %v, want two stretches", parts)
+// Guards against a line drawn across a gap, and against points that are not at the middle of their second.
+func TestSegmentsSplitAtGaps(t *testing.T) {
+	got := segments([]float64{1, 2, missingValue(), 3})
+	if len(got) != 2 || len(got[0]) != 2 || got[1][0].X != 3.5 {
+		t.Errorf("got %v, want two segments", got)
 	}
 }
--- a/internal/report/summary.go
+++ b/internal/report/summary.go
@@ -2,48 +2,49 @@
 
 import "springfield/internal/measure"
 
-// section is a part of the table that compares the results.
+// section is one of the tables of the summary, which compare the results.
 type section struct {
 	Title string
 	Rows  []summaryRow
 }
 
-// summaryRow is one figure of all results.
+// summaryRow holds the values of one metric for all results.
 type summaryRow struct {
 	Label  string
 	Note   string
 	Values []string
 }
 
-type summaryFigure struct {
+// summaryMetric describes a metric that the summary shows.
+type summaryMetric struct {
 	label string
 	note  string
 	value func(*measure.Result) string
 }
 
-func summaryOf(results []NamedResult) []section {
+func newSummary(results []NamedResult) []section {
 	return []section{
-		summarySection("Service", results, serviceFigures()),
-		summarySection("Requests", results, requestFigures()),
-		summarySection("Latency of served requests", results, latencyFigures()),
-		summarySection("Work", results, workFigures()),
+		summarySection("Service", results, serviceMetrics()),
+		summarySection("Requests", results, requestMetrics()),
+		summarySection("Latency of served requests", results, latencyMetrics()),
+		summarySection("Work", results, workMetrics()),
 	}
 }
 
-func summarySection(title string, results []NamedResult, figures []summaryFigure) section {
-	filled := section{Title: title}
-	for _, described := range figures {
-		row := summaryRow{Label: described.label, Note: described.note}
+func summarySection(title string, results []NamedResult, metrics []summaryMetric) section {
+	table := section{Title: title}
+	for _, metric := range metrics {
+		row := summaryRow{Label: metric.label, Note: metric.note}
 		for i := range results {
-			row.Values = append(row.Values, described.value(&results[i].Result))
+			row.Values = append(row.Values, metric.value(&results[i].Result))
 		}
-		filled.Rows = append(filled.Rows, row)
+		table.Rows = append(table.Rows, row)
 	}
-	return filled
+	return table
 }
 
-func serviceFigures() []summaryFigure {
-	return []summaryFigure{
+func serviceMetrics() []summaryMetric {
+	return []summaryMetric{
 		{"Value earned", "of the value requested", func(r *measure.Result) string { return formatPercent(r.Service.Whole) }},
 		{"Worst 10 s", "of the load", func(r *measure.Result) string { return formatPercent(r.Service.WorstTenSeconds) }},
 		{"Worst class", "", func(r *measure.Result) string { return formatPercent(r.Service.WorstClass) }},
@@ -54,11 +55,11 @@
 	}
 }
 
-func requestFigures() []summaryFigure {
-	outcome := func(label, note string, of func(*measure.Outcomes) measure.Outcome) summaryFigure {
-		return summaryFigure{label, note, func(r *measure.Result) string { return formatOutcome(of(&r.Requests)) }}
+func requestMetrics() []summaryMetric {
+	outcome := func(label, note string, field func(*measure.Outcomes) measure.Outcome) summaryMetric {
+		return summaryMetric{label, note, func(r *measure.Result) string { return formatOutcome(field(&r.Requests)) }}
 	}
-	return []summaryFigure{
+	return []summaryMetric{
 		{"Requests", "first tries", func(r *measure.Result) string { return formatCount(r.Requests.Total) }},
 		outcome("Served", "", func(o *measure.Outcomes) measure.Outcome { return o.Served }),
 		outcome("Served late", "after the latency objective", func(o *measure.Outcomes) measure.Outcome { return o.Late }),
@@ -74,11 +75,11 @@
 	}
 }
 
-func latencyFigures() []summaryFigure {
-	latency := func(label string, of func(*measure.Latency) float64) summaryFigure {
-		return summaryFigure{label, "ms", func(r *measure.Result) string { return formatMillis(of(&r.Latency)) }}
+func latencyMetrics() []summaryMetric {
+	latency := func(label string, field func(*measure.Latency) float64) summaryMetric {
+		return summaryMetric{label, "ms", func(r *measure.Result) string { return formatMillis(field(&r.Latency)) }}
 	}
-	return []summaryFigure{
+	return []summaryMetric{
 		latency("Mean", func(l *measure.Latency) float64 { return l.Mean }),
 		latency("50th percentile", func(l *measure.Latency) float64 { return l.P50 }),
 		latency("90th percentile", func(l *measure.Latency) float64 { return l.P90 }),
@@ -88,11 +89,11 @@
 	}
 }
 
-func workFigures() []summaryFigure {
-	count := func(label, note string, of func(*measure.Attempts) int64) summaryFigure {
-		return summaryFigure{label, note, func(r *measure.Result) string { return formatCount(of(&r.Attempts)) }}
+func workMetrics() []summaryMetric {
+	count := func(label, note string, field func(*measure.Attempts) int64) summaryMetric {
+		return summaryMetric{label, note, func(r *measure.Result) string { return formatCount(field(&r.Attempts)) }}
 	}
-	return []summaryFigure{
+	return []summaryMetric{
 		{"Deployment", "gateways / endpoints", func(r *measure.Result) string {
 			return formatCount(int64(r.Gateways)) + " / " + formatCount(int64(r.Endpoints))
 		}},
--- a/internal/report/ticks.go
+++ b/internal/report/ticks.go
@@ -7,8 +7,8 @@
 	"gonum.org/v1/plot"
 )
 
-// ticksWanted is about how many labels an axis has.
-const ticksWanted = 6
+// targetTickCount is the approximate number of labels of an axis.
+const targetTickCount = 6
 
 // roundTicks places labels at multiples of 1, 2 or 5 times a power of ten.
 type roundTicks struct{}
@@ -17,7 +17,7 @@
 
 // Ticks implements plot.Ticker.
 func (roundTicks) Ticks(low, high float64) []plot.Tick {
-	step := roundStep((high - low) / ticksWanted)
+	step := roundStep((high - low) / targetTickCount)
 	var ticks []plot.Tick
 	for multiple := math.Ceil(low / step); multiple*step <= high; multiple++ {
 		value := multiple * step
@@ -26,11 +26,11 @@
 	return ticks
 }
 
-// roundStep returns the round number that is next above a step.
-func roundStep(least float64) float64 {
-	power := math.Pow(10, math.Floor(math.Log10(least)))
+// roundStep returns the smallest multiple of 1, 2 or 5 and a power of ten that is at least minStep.
+func roundStep(minStep float64) float64 {
+	power := math.Pow(10, math.Floor(math.Log10(minStep)))
 	for _, factor := range []float64{1, 2, 5} {
-		if factor*power >= least {
+		if factor*power >= minStep {
 			return factor * power
 		}
 	}
