--- a/cmd/springfield/demo_test.go
+++ b/cmd/springfield/demo_test.go
@@ -68,7 +68,7 @@
 	if !errors.As(err, &early) || !errors.Is(err, context.Canceled) {
 		t.Errorf("the error is %v, want an interrupt", err)
 	}
-	if record == nil || record.Result.Requests.Served.Count < 20 || !record.Rules.Kept() {
+	if record == nil || record.Result.Requests.Served.Count < 20 || !record.Rules.Passed() {
 		t.Fatalf("the record is %+v", record)
 	}
 	if record.Result.LengthSeconds >= maxDemoLength.Seconds() {
--- a/cmd/springfield/deployment.go
+++ b/cmd/springfield/deployment.go
@@ -121,7 +121,7 @@
 			case <-driving.Done():
 				return
 			case <-ticker.C:
-				shown.show("%d requests sent, of a load of %v", world.Summary().Requests, d.scenario.Length.Of())
+				shown.show("%d requests sent, of a load of %v", world.Summary().Requests, d.scenario.Length.AsDuration())
 			}
 		}
 	}()
--- a/cmd/springfield/experiment.go
+++ b/cmd/springfield/experiment.go
@@ -137,7 +137,7 @@
 	broken := 0
 	for i := range records {
 		record := &records[i]
-		if record.Rules.Kept() {
+		if record.Rules.Passed() {
 			continue
 		}
 		broken++
--- a/cmd/springfield/table.go
+++ b/cmd/springfield/table.go
@@ -46,7 +46,7 @@
 // writeRules tells whether the run has kept the rules.
 func writeRules(w io.Writer, record *experiment.Record) error {
 	rules := &record.Rules
-	if rules.Kept() {
+	if rules.Passed() {
 		_, err := fmt.Fprintf(w, "rules kept: yes, by %s and %s\n", plural(int(rules.Requests), "request"),
 			plural(int(rules.Attempts), "attempt"))
 		return err
@@ -65,7 +65,7 @@
 
 // brokenRules returns an error if the run has broken a rule.
 func brokenRules(record *experiment.Record) error {
-	if record.Rules.Kept() {
+	if record.Rules.Passed() {
 		return nil
 	}
 	return errRulesBroken
--- a/internal/baseline/simulation_test.go
+++ b/internal/baseline/simulation_test.go
@@ -47,7 +47,7 @@
 				t.Fatal(err)
 			}
 			report := checker.Finish(virtual.StartTime + summary.VirtualTime)
-			if !report.Kept() || report.Unlocated != 0 || report.Undecided != 0 {
+			if !report.Passed() || report.Unlocated != 0 || report.Undecided != 0 {
 				t.Errorf("broken: %+v", report)
 			}
 			if summary.Attempts <= summary.Requests/2 || report.Requests != summary.Requests {
--- a/internal/emulator/invariant/checker.go
+++ b/internal/emulator/invariant/checker.go
@@ -64,7 +64,7 @@
 // NewChecker returns a checker of a run of a scenario.
 func NewChecker(scenario *emulator.Scenario, options ...Option) *Checker {
 	checker := &Checker{
-		drainGrace: scenario.Endpoints.DrainGrace.Of(),
+		drainGrace: scenario.Endpoints.DrainGrace.AsDuration(),
 		requests:   make(map[emulator.RequestKey]*request),
 		gateways:   make(map[int]*gateway),
 		locations:  make(map[policy.EndpointID]location),
--- a/internal/emulator/invariant/class.go
+++ b/internal/emulator/invariant/class.go
@@ -32,7 +32,7 @@
 	case "zone":
 		result.scope = policy.KeyScopeZone
 	}
-	result.keyTTL = described.KeyTTL.Of()
+	result.keyTTL = described.KeyTTL.AsDuration()
 	return result
 }
 
--- a/internal/emulator/invariant/report.go
+++ b/internal/emulator/invariant/report.go
@@ -73,8 +73,8 @@
 	Unlocated int `json:"unlocated"`
 }
 
-// Kept tells whether no rule was broken.
-func (r Report) Kept() bool { return len(r.Violations) == 0 }
+// Passed tells whether no rule was broken.
+func (r Report) Passed() bool { return len(r.Violations) == 0 }
 
 // violations collects what breaks the rules.
 type violations struct {
--- a/internal/emulator/invariant/stream_test.go
+++ b/internal/emulator/invariant/stream_test.go
@@ -116,12 +116,12 @@
 func assertBroken(t *testing.T, report Report, rule Rule) {
 	t.Helper()
 	if rule == "" {
-		if !report.Kept() || len(report.Violations) != 0 {
+		if !report.Passed() || len(report.Violations) != 0 {
 			t.Errorf("violations = %+v, want none", report.Violations)
 		}
 		return
 	}
-	if report.Kept() || len(report.Violations) != 1 {
+	if report.Passed() || len(report.Violations) != 1 {
 		t.Fatalf("violations = %+v, want one of %s", report.Violations, rule)
 	}
 	if got := report.Violations[0]; got.Rule != rule || got.Count != 1 {
--- a/internal/emulator/loopback/gateway.go
+++ b/internal/emulator/loopback/gateway.go
@@ -338,7 +338,7 @@
 // noticeDeath lets the front notice after a while that the gateway is down.
 func (g *gateway) noticeDeath() {
 	starts := g.process
-	g.world.scheduler.After(g.world.scenario.Network.FrontDelay.Of(), func() {
+	g.world.scheduler.After(g.world.scenario.Network.FrontDelay.AsDuration(), func() {
 		if g.state != gatewayReady && (g.process == starts || g.process == nil) {
 			g.admitted = false
 		}
--- a/internal/emulator/loopback/harness_test.go
+++ b/internal/emulator/loopback/harness_test.go
@@ -147,7 +147,7 @@
 // wantKept fails the test if a rule was broken, a gateway crashed or the observations contradict each other.
 func (o *observed) wantKept(t *testing.T) {
 	t.Helper()
-	if report := o.checker.Finish(o.last); !report.Kept() {
+	if report := o.checker.Finish(o.last); !report.Passed() {
 		t.Errorf("broken rules: %+v", report)
 	}
 	if o.summary.GatewayCrashes != 0 || o.summary.UnknownRequests != 0 || o.early != 0 {
--- a/internal/emulator/loopback/options.go
+++ b/internal/emulator/loopback/options.go
@@ -93,7 +93,7 @@
 		return &LimitError{Name: "gateways", Limit: fmt.Sprint(maxGateways)}
 	case scenario.Endpoints.Count > maxEndpoints:
 		return &LimitError{Name: "endpoints", Limit: fmt.Sprint(maxEndpoints)}
-	case scenario.Length.Of() > maxLength:
+	case scenario.Length.AsDuration() > maxLength:
 		return &LimitError{Name: "loads", Limit: maxLength.String()}
 	default:
 		return nil
--- a/internal/emulator/loopback/run.go
+++ b/internal/emulator/loopback/run.go
@@ -35,7 +35,7 @@
 	}
 	begun := time.Now()
 	w.scheduler.Do(w.beginLoad)
-	limit := loadDelay + w.scenario.Length.Of() + w.longestDeadline() + settleTime
+	limit := loadDelay + w.scenario.Length.AsDuration() + w.longestDeadline() + settleTime
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	var err error
--- a/internal/emulator/loopback/upstream_connection.go
+++ b/internal/emulator/loopback/upstream_connection.go
@@ -97,7 +97,7 @@
 	c.current.giveUpAt = world.scheduler.Now() + parseSeconds(received.head.Header.Get("Req-Deadline"))
 	delay := world.network.Delay()
 	if first {
-		delay += world.scenario.Endpoints.HandshakeDelay.Of()
+		delay += world.scenario.Endpoints.HandshakeDelay.AsDuration()
 	}
 	world.scheduler.After(delay, c.current.receive)
 }
@@ -143,7 +143,7 @@
 }
 
 func (c *upstreamConnection) idleTimeout() time.Duration {
-	if idle := c.endpoint.world.scenario.Endpoints.IdleTimeout.Of(); idle > 0 {
+	if idle := c.endpoint.world.scenario.Endpoints.IdleTimeout.AsDuration(); idle > 0 {
 		return idle
 	}
 	return defaultIdle
--- a/internal/emulator/loopback/world.go
+++ b/internal/emulator/loopback/world.go
@@ -236,7 +236,7 @@
 func (w *World) longestDeadline() time.Duration {
 	var longest time.Duration
 	for i := range w.scenario.Classes {
-		longest = max(longest, w.scenario.Classes[i].Deadline.Of())
+		longest = max(longest, w.scenario.Classes[i].Deadline.AsDuration())
 	}
 	return longest
 }
--- a/internal/emulator/loopback/world_test.go
+++ b/internal/emulator/loopback/world_test.go
@@ -145,7 +145,7 @@
 	if served == 0 || o.of("not genuine") != served || o.summary.UnknownRequests != int64(served) {
 		t.Errorf("%+v %v", o.summary, o.seen)
 	}
-	if o.checker.Finish(o.last).Kept() {
+	if o.checker.Finish(o.last).Passed() {
 		t.Error("the checker found nothing")
 	}
 }
--- a/internal/emulator/model/customers.go
+++ b/internal/emulator/model/customers.go
@@ -144,7 +144,7 @@
 		}
 		next.setFirst, next.setSize = drawSet(scenario, &scenario.Plans[plan], random)
 		next.drawRates(scenario, bucket.rate, habits.next(), random)
-		nextUse := bucket.use(&next, scenario.Length.Of(), scenario.Clients.SpikeLength.Of())
+		nextUse := bucket.use(&next, scenario.Length.AsDuration(), scenario.Clients.SpikeLength.AsDuration())
 		if nextUse > use {
 			nextUse = use
 			next.rate, next.spikes = use, nil
@@ -169,17 +169,17 @@
 	}
 	if kind == habitSpiky {
 		c.spikeRate = clients.SpikeFactor * quotaRate
-		c.spikes = drawSpikes(clients, scenario.Length.Of(), random)
+		c.spikes = drawSpikes(clients, scenario.Length.AsDuration(), random)
 	}
 }
 
 // drawSpikes draws when the spikes of a customer begin. They do not overlap.
 func drawSpikes(clients *emulator.Clients, length time.Duration, random *rand.Rand) []time.Duration {
-	pause := clients.SpikeEvery.Of() - clients.SpikeLength.Of()
+	pause := clients.SpikeEvery.AsDuration() - clients.SpikeLength.AsDuration()
 	var begins []time.Duration
-	for at := scaled(clients.SpikeEvery.Of(), random.Float64()); at < length; {
+	for at := scaled(clients.SpikeEvery.AsDuration(), random.Float64()); at < length; {
 		begins = append(begins, at)
-		at += clients.SpikeLength.Of() + scaled(pause, between(1-spikeGapSpread, 1+spikeGapSpread, random))
+		at += clients.SpikeLength.AsDuration() + scaled(pause, between(1-spikeGapSpread, 1+spikeGapSpread, random))
 	}
 	return begins
 }
@@ -215,7 +215,7 @@
 // offeredBy adds up what customers request.
 func offeredBy(scenario *emulator.Scenario, customers []customer) Offered {
 	offered := Offered{Customers: len(customers), CapacityUnits: EndpointWork(scenario)}
-	length, spikeLength := scenario.Length.Of(), scenario.Clients.SpikeLength.Of()
+	length, spikeLength := scenario.Length.AsDuration(), scenario.Clients.SpikeLength.AsDuration()
 	unlimited := quota{rate: math.Inf(1)}
 	for i := range customers {
 		c := &customers[i]
--- a/internal/emulator/model/customers_test.go
+++ b/internal/emulator/model/customers_test.go
@@ -61,7 +61,7 @@
 			inside += a.TrueUnits
 		}
 	}
-	seconds := scenario.Length.Of().Seconds()
+	seconds := scenario.Length.AsDuration().Seconds()
 	if want := scenario.Clients.Load * EndpointWork(&scenario); math.Abs(inside/seconds/want-1) > 0.05 {
 		t.Errorf("%v units a second are inside the quotas, want about %v", inside/seconds, want)
 	}
@@ -109,7 +109,7 @@
 	length := 10 * time.Hour
 	spikes := drawSpikes(&clients, length, rand.New(rand.NewPCG(1, 1)))
 	for i := 1; i < len(spikes); i++ {
-		if spikes[i] < spikes[i-1]+clients.SpikeLength.Of() {
+		if spikes[i] < spikes[i-1]+clients.SpikeLength.AsDuration() {
 			t.Fatalf("spikes at %v and %v overlap", spikes[i-1], spikes[i])
 		}
 	}
--- a/internal/emulator/model/discovery.go
+++ b/internal/emulator/model/discovery.go
@@ -212,7 +212,7 @@
 	if w.closed || w.silent || d.down {
 		return
 	}
-	newest := d.scheduler.Now() - d.scaled(d.spec.DelayMin.Of())
+	newest := d.scheduler.Now() - d.scaled(d.spec.DelayMin.AsDuration())
 	through := w.version
 	for through < d.version() && (through == w.version || d.changes[through].at <= newest) {
 		through++
@@ -256,7 +256,7 @@
 }
 
 func (d *Discovery) delay() time.Duration {
-	least, most := d.spec.DelayMin.Of(), d.spec.DelayMax.Of()
+	least, most := d.spec.DelayMin.AsDuration(), d.spec.DelayMax.AsDuration()
 	return d.scaled(least + time.Duration(d.random.Float64()*float64(max(0, most-least))))
 }
 
--- a/internal/emulator/model/faults.go
+++ b/internal/emulator/model/faults.go
@@ -55,7 +55,7 @@
 	observer emulator.Observer) {
 	for _, fault := range scenario.Faults {
 		s := &faultScheduler{fault: fault, scheduler: scheduler, random: random, target: target, observer: observer}
-		scheduler.After(fault.At.Of(), s.begin)
+		scheduler.After(fault.At.AsDuration(), s.begin)
 	}
 }
 
@@ -81,7 +81,7 @@
 	default:
 		s.faultService()
 	}
-	s.scheduler.After(s.fault.Length.Of(), func() { s.observe(false) })
+	s.scheduler.After(s.fault.Length.AsDuration(), func() { s.observe(false) })
 }
 
 func (s *faultScheduler) observe(active bool) {
@@ -93,7 +93,7 @@
 // during runs one function now and another when the fault is over.
 func (s *faultScheduler) during(begin, end func()) {
 	begin()
-	s.scheduler.After(s.fault.Length.Of(), end)
+	s.scheduler.After(s.fault.Length.AsDuration(), end)
 }
 
 func (s *faultScheduler) faultGateways() {
@@ -104,7 +104,7 @@
 			continue
 		}
 		group := i * restartGroups / len(gateways)
-		wait := s.fault.Length.Of() * time.Duration(group) / restartGroups
+		wait := s.fault.Length.AsDuration() * time.Duration(group) / restartGroups
 		s.scheduler.After(wait, func() { s.target.RestartGateway(gateway) })
 	}
 }
@@ -116,7 +116,7 @@
 		case emulator.FaultDrainEndpoints:
 			s.during(func() { s.target.DrainEndpoint(id) }, func() { s.target.StopEndpoint(id) })
 		case emulator.FaultReplace:
-			wait := s.fault.Length.Of() * time.Duration(i) / time.Duration(len(ids))
+			wait := s.fault.Length.AsDuration() * time.Duration(i) / time.Duration(len(ids))
 			s.scheduler.After(wait, func() { s.replace(id) })
 		case emulator.FaultStopEndpoints:
 			s.during(func() { s.target.StopEndpoint(id) }, func() { s.target.StartEndpoint(id) })
--- a/internal/emulator/model/meter.go
+++ b/internal/emulator/model/meter.go
@@ -61,7 +61,7 @@
 	if !m.hasKnown || m.silent || rate <= 0 {
 		return 0, false
 	}
-	share = m.known[customer] / (rate * m.spec.Period.Of().Seconds())
+	share = m.known[customer] / (rate * m.spec.Period.AsDuration().Seconds())
 	return math.Round(share*usageStepsPerQuota) / usageStepsPerQuota, true
 }
 
@@ -70,7 +70,7 @@
 
 // advance finishes periods that are over and takes over those that have become known.
 func (m *Meter) advance(now time.Duration) {
-	period := m.spec.Period.Of()
+	period := m.spec.Period.AsDuration()
 	if !m.started {
 		m.started = true
 		m.end = now - now%period + period
@@ -90,9 +90,9 @@
 }
 
 func (m *Meter) drawDelay() time.Duration {
-	spread := m.spec.DelayMax.Of() - m.spec.DelayMin.Of()
+	spread := m.spec.DelayMax.AsDuration() - m.spec.DelayMin.AsDuration()
 	if spread <= 0 {
-		return m.spec.DelayMin.Of()
+		return m.spec.DelayMin.AsDuration()
 	}
-	return m.spec.DelayMin.Of() + time.Duration(m.random.Int64N(int64(spread)+1))
+	return m.spec.DelayMin.AsDuration() + time.Duration(m.random.Int64N(int64(spread)+1))
 }
--- a/internal/emulator/model/network.go
+++ b/internal/emulator/model/network.go
@@ -24,7 +24,7 @@
 // Delay returns the time of one message, one way. Its mean is Network.Delay, of which the part Network.Jitter is
 // exponentially distributed and the rest fixed.
 func (n *Network) Delay() time.Duration {
-	mean := float64(n.spec.Delay.Of())
+	mean := float64(n.spec.Delay.AsDuration())
 	if n.spec.Jitter <= 0 {
 		return time.Duration(mean)
 	}
--- a/internal/emulator/model/overload.go
+++ b/internal/emulator/model/overload.go
@@ -32,7 +32,7 @@
 func newWarmUpLoad(warmUp emulator.WarmUp, capacity float64, meanWork time.Duration) warmUpLoad {
 	return warmUpLoad{
 		factor:   warmUp.OverloadFactor,
-		window:   warmUp.OverloadWindow.Of(),
+		window:   warmUp.OverloadWindow.AsDuration(),
 		capacity: capacity,
 		meanWork: meanWork.Seconds(),
 	}
--- a/internal/emulator/model/retries.go
+++ b/internal/emulator/model/retries.go
@@ -33,7 +33,7 @@
 	if answer == emulator.AnswerMissing || random.Float64() < retryElsewhere {
 		next.Gateway = otherGateway(&previous, w.scenario.Gateways, random)
 	}
-	deadline := w.scenario.Classes[next.Class].Deadline.Of()
+	deadline := w.scenario.Classes[next.Class].Deadline.AsDuration()
 	next.Deadline = min(next.At+w.drawPatience(deadline, random), next.LastDeadline)
 	return next, true
 }
@@ -60,8 +60,8 @@
 	case idempotencyRepeatable:
 		return true
 	case idempotencyByKey:
-		firstAt := next.LastDeadline - class.Deadline.Of()
-		return class.Scope == scopeAll && next.At-firstAt < class.KeyTTL.Of()
+		firstAt := next.LastDeadline - class.Deadline.AsDuration()
+		return class.Scope == scopeAll && next.At-firstAt < class.KeyTTL.AsDuration()
 	default:
 		return false
 	}
@@ -70,11 +70,11 @@
 // retryDelay draws how long a client waits before its next try: a backoff, and the Retry-After as far as it is heeded.
 func (w *Workload) retryDelay(try int, retryAfter time.Duration, random *rand.Rand) time.Duration {
 	factor := float64(uint64(1)<<try) * between(1-backoffJitter, 1+backoffJitter, random)
-	backoff := scaled(w.scenario.Clients.RetryDelay.Of(), factor)
+	backoff := scaled(w.scenario.Clients.RetryDelay.AsDuration(), factor)
 	if !w.scenario.Limits.RetryAfter {
 		return backoff
 	}
-	return max(backoff, min(retryAfter, w.scenario.Limits.MaxRetryAfter.Of()))
+	return max(backoff, min(retryAfter, w.scenario.Limits.MaxRetryAfter.AsDuration()))
 }
 
 // Redirect returns the gateway to which the front takes a request: its own, or if that is down another one of the
--- a/internal/emulator/model/server.go
+++ b/internal/emulator/model/server.go
@@ -179,7 +179,7 @@
 	if !s.up || !s.connections.add() {
 		return false
 	}
-	if work := s.spec.Endpoints.HandshakeWork.Of(); work > 0 {
+	if work := s.spec.Endpoints.HandshakeWork.AsDuration(); work > 0 {
 		s.processor.advance(s.scheduler.Now())
 		s.processor.add(work.Seconds(), nil)
 		s.scheduleWakeUp()
--- a/internal/emulator/model/settings.go
+++ b/internal/emulator/model/settings.go
@@ -36,7 +36,7 @@
 		Discovery:     settings.DiscoveryPushed,
 		GranularityMs: milliseconds(settingsGranularity),
 		Extra: settings.Extra{
-			UsePeriodMs: milliseconds(scenario.Meter.Period.Of()),
+			UsePeriodMs: milliseconds(scenario.Meter.Period.AsDuration()),
 			MostUnits:   float64(scenario.Clients.MaxUnits),
 			TruedUp:     scenario.Meter.Settled,
 		},
@@ -65,12 +65,12 @@
 	}
 	return settings.Class{
 		Name:        class.Name,
-		AimMs:       milliseconds(class.Objective.Of()),
-		HardLimitMs: milliseconds(class.Deadline.Of()),
+		AimMs:       milliseconds(class.Objective.AsDuration()),
+		HardLimitMs: milliseconds(class.Deadline.AsDuration()),
 		Value:       class.Value,
 		Repeat:      class.Idempotency,
 		Group:       class.Scope,
-		KeyTTLMs:    milliseconds(class.KeyTTL.Of()),
+		KeyTTLMs:    milliseconds(class.KeyTTL.AsDuration()),
 	}
 }
 
@@ -93,9 +93,9 @@
 	return settings.Limits{
 		Cancel:          scenario.Limits.Cancel,
 		RetryAfter:      scenario.Limits.RetryAfter,
-		MaxRetryAfterMs: milliseconds(scenario.Limits.MaxRetryAfter.Of()),
-		ConnIdleMs:      milliseconds(scenario.Endpoints.IdleTimeout.Of()),
-		DialTimeoutMs:   milliseconds(scenario.Network.DialTimeout.Of()),
+		MaxRetryAfterMs: milliseconds(scenario.Limits.MaxRetryAfter.AsDuration()),
+		ConnIdleMs:      milliseconds(scenario.Endpoints.IdleTimeout.AsDuration()),
+		DialTimeoutMs:   milliseconds(scenario.Network.DialTimeout.AsDuration()),
 		MostHeld:        scenario.Limits.MaxOpenRequests,
 		SendCap:         scenario.Limits.MaxAttempts,
 	}
@@ -111,12 +111,12 @@
 func safetySettings(scenario *emulator.Scenario) settings.Safety {
 	return settings.Safety{
 		AskWithinMs:     milliseconds(longestPollInterval),
-		DrainGraceMs:    milliseconds(scenario.Endpoints.DrainGrace.Of()),
+		DrainGraceMs:    milliseconds(scenario.Endpoints.DrainGrace.AsDuration()),
 		GraceToAnswerMs: milliseconds(AnswerGrace),
 		ColdFrom:        scenario.WarmUp.InitialCapacity,
-		WarmWithinMs:    milliseconds(scenario.WarmUp.Duration.Of()),
+		WarmWithinMs:    milliseconds(scenario.WarmUp.Duration.AsDuration()),
 		FallMultiple:    scenario.WarmUp.OverloadFactor,
-		FallMs:          milliseconds(scenario.WarmUp.OverloadWindow.Of()),
+		FallMs:          milliseconds(scenario.WarmUp.OverloadWindow.AsDuration()),
 	}
 }
 
--- a/internal/emulator/model/slow_start.go
+++ b/internal/emulator/model/slow_start.go
@@ -19,7 +19,7 @@
 }
 
 func newSlowStart(warmUp emulator.WarmUp, startedAt time.Duration) slowStart {
-	return slowStart{initial: warmUp.InitialCapacity, duration: warmUp.Duration.Of(), startedAt: startedAt}
+	return slowStart{initial: warmUp.InitialCapacity, duration: warmUp.Duration.AsDuration(), startedAt: startedAt}
 }
 
 // isWarm reports whether all of the capacity is there.
--- a/internal/emulator/model/validate.go
+++ b/internal/emulator/model/validate.go
@@ -83,7 +83,8 @@
 }
 
 func (v *validator) duration(path string, value emulator.Duration, least, most time.Duration) {
-	v.require(value.Of() >= least && value.Of() <= most, path, "is %v; want %v to %v", value.Of(), least, most)
+	v.require(value.AsDuration() >= least && value.AsDuration() <= most, path,
+		"is %v; want %v to %v", value.AsDuration(), least, most)
 }
 
 // anyDuration wants a duration that is not negative.
@@ -141,7 +142,8 @@
 func (v *validator) delays(table string, least, most emulator.Duration) {
 	v.anyDuration(table+".delay_min", least)
 	v.anyDuration(table+".delay_max", most)
-	v.require(most >= least, table+".delay_max", "is %v; want at least delay_min, %v", most.Of(), least.Of())
+	v.require(most >= least, table+".delay_max",
+		"is %v; want at least delay_min, %v", most.AsDuration(), least.AsDuration())
 }
 
 func (v *validator) limits(limits *emulator.Limits) {
@@ -161,7 +163,7 @@
 		v.number(path+".share", class.Share, 0, mostQuota)
 		v.idempotency(path, class)
 		v.duration(path+".objective", class.Objective, time.Millisecond, longestScenario)
-		v.duration(path+".deadline", class.Deadline, max(time.Millisecond, class.Objective.Of()), longestScenario)
+		v.duration(path+".deadline", class.Deadline, max(time.Millisecond, class.Objective.AsDuration()), longestScenario)
 		v.number(path+".value", class.Value, 0, mostQuota)
 		v.duration(path+".work", class.Work, time.Microsecond, longestScenario)
 		v.number(path+".work_spread", class.WorkSpread, 0, 1)
--- a/internal/emulator/model/validate_load.go
+++ b/internal/emulator/model/validate_load.go
@@ -41,7 +41,7 @@
 	if clients.SpikyShare > 0 {
 		v.positive("clients.spike_factor", clients.SpikeFactor, mostFactor)
 		v.duration("clients.spike_length", clients.SpikeLength, time.Millisecond, longestScenario)
-		v.duration("clients.spike_every", clients.SpikeEvery, clients.SpikeLength.Of()+1, longestScenario)
+		v.duration("clients.spike_every", clients.SpikeEvery, clients.SpikeLength.AsDuration()+1, longestScenario)
 	}
 }
 
@@ -63,7 +63,7 @@
 func (v *validator) faults(scenario *emulator.Scenario) {
 	for i := range scenario.Faults {
 		fault, path := &scenario.Faults[i], fmt.Sprintf("faults[%d]", i)
-		v.duration(path+".at", fault.At, 0, max(0, scenario.Length.Of()))
+		v.duration(path+".at", fault.At, 0, max(0, scenario.Length.AsDuration()))
 		v.anyDuration(path+".length", fault.Length)
 		v.number(path+".share", fault.Share, 0, 1)
 		v.count(path+".zone", fault.Zone, 0, Zones(scenario))
@@ -109,5 +109,5 @@
 
 // lasts wants a fault to have a length.
 func (v *validator) lasts(path string, fault *emulator.Fault) {
-	v.require(fault.Length > 0, path+".length", "is %v; want more than 0s", fault.Length.Of())
+	v.require(fault.Length > 0, path+".length", "is %v; want more than 0s", fault.Length.AsDuration())
 }
--- a/internal/emulator/model/workload.go
+++ b/internal/emulator/model/workload.go
@@ -109,9 +109,9 @@
 // false once the load is over.
 func (w *Workload) nextTime(sender *customer, after time.Duration) (time.Duration, bool) {
 	wanted := w.random.ExpFloat64() // the expected requests until then, in a Poisson process of any rate
-	for at := after; at < w.scenario.Length.Of(); {
+	for at := after; at < w.scenario.Length.AsDuration(); {
 		rate, until := w.requestRate(sender, at)
-		until = min(until, w.scenario.Length.Of())
+		until = min(until, w.scenario.Length.AsDuration())
 		expected := rate * (until - at).Seconds()
 		if wanted < expected {
 			return at + scaled(time.Second, wanted/rate), true
@@ -125,9 +125,9 @@
 // requestRate returns how many requests a second a customer sends at a time after the start, and until when.
 func (w *Workload) requestRate(sender *customer, at time.Duration) (rate float64, until time.Duration) {
 	clients := &w.scenario.Clients
-	rate, until = sender.rateAt(at, clients.SpikeLength.Of())
+	rate, until = sender.rateAt(at, clients.SpikeLength.AsDuration())
 	rate /= meanUnits(clients)
-	begin, end := clients.BurstAt.Of(), clients.BurstAt.Of()+clients.BurstLength.Of()
+	begin, end := clients.BurstAt.AsDuration(), clients.BurstAt.AsDuration()+clients.BurstLength.AsDuration()
 	switch {
 	case at < begin:
 		return rate, min(until, begin)
@@ -145,7 +145,7 @@
 func (w *Workload) firstTry(sender *customer, at time.Duration) Arrival {
 	w.sent++
 	class := w.drawClass()
-	deadline := w.scenario.Classes[class].Deadline.Of()
+	deadline := w.scenario.Classes[class].Deadline.AsDuration()
 	units := float64(1 + w.random.IntN(w.scenario.Clients.MaxUnits))
 	key := w.keyOf(w.sent - 1)
 	arrival := Arrival{
@@ -191,7 +191,7 @@
 func (w *Workload) busiestPosition(id policy.CustomerID, setSize int, at time.Duration) int {
 	customerHash := mix(w.seed ^ mix(uint64(id)))
 	period := uint64(0)
-	if shift := w.scenario.Clients.ShiftEvery.Of(); shift > 0 {
+	if shift := w.scenario.Clients.ShiftEvery.AsDuration(); shift > 0 {
 		phase := time.Duration(customerHash % uint64(shift))
 		period = uint64((at - w.start + phase) / shift)
 	}
@@ -228,7 +228,7 @@
 // drawWork draws the work of a request.
 func drawWork(class *emulator.Class, units float64, random *rand.Rand) time.Duration {
 	factor := 1 + class.WorkSpread*(2*random.Float64()-1)
-	return scaled(class.Work.Of(), units*factor)
+	return scaled(class.Work.AsDuration(), units*factor)
 }
 
 func cumulativeShares(classes []emulator.Class) []float64 {
--- a/internal/emulator/model/workload_test.go
+++ b/internal/emulator/model/workload_test.go
@@ -28,12 +28,12 @@
 	scenario.Gateways, scenario.Clients.SetMin, scenario.Clients.SetMax = 20, 0.1, 0.5
 	scenario.Clients.Abandon = 0.2
 	scenario.Length = emulator.Duration(100 * time.Second)
-	end := testStart + scenario.Length.Of()
+	end := testStart + scenario.Length.AsDuration()
 	last, abandoned, searches := testStart, 0.0, 0.0
 	arrivals := firstTries(NewWorkload(&scenario, 1, testStart))
 	keys := make(map[emulator.RequestKey]bool)
 	for _, a := range arrivals {
-		limit := scenario.Classes[a.Class].Deadline.Of()
+		limit := scenario.Classes[a.Class].Deadline.AsDuration()
 		least := scaled(limit, scenario.Clients.Patience)
 		position := (a.Gateway - a.SetFirst + scenario.Gateways) % scenario.Gateways
 		switch {
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -21,8 +21,8 @@
 // MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Of returns the time.Duration.
-func (d Duration) Of() time.Duration { return time.Duration(d) }
+// AsDuration returns the time.Duration.
+func (d Duration) AsDuration() time.Duration { return time.Duration(d) }
 
 // Scenario describes a deployment, its load and its faults. Together with a seed it determines a virtual run.
 type Scenario struct {
--- a/internal/emulator/scheduler_test.go
+++ b/internal/emulator/scheduler_test.go
@@ -62,8 +62,8 @@
 
 func TestDurationIsWrittenWithUnit(t *testing.T) {
 	var d Duration
-	if err := d.UnmarshalText([]byte("1.5s")); err != nil || d.Of() != 1500*time.Millisecond {
-		t.Errorf("got %v, %v", d.Of(), err)
+	if err := d.UnmarshalText([]byte("1.5s")); err != nil || d.AsDuration() != 1500*time.Millisecond {
+		t.Errorf("got %v, %v", d.AsDuration(), err)
 	}
 	if text, err := d.MarshalText(); err != nil || string(text) != "1.5s" {
 		t.Errorf("got %s, %v", text, err)
--- a/internal/emulator/virtual/attempt.go
+++ b/internal/emulator/virtual/attempt.go
@@ -41,7 +41,7 @@
 	}
 	a.newConnection = true
 	if !w.reachable(g, a.endpoint) {
-		w.scheduler.After(w.scenario.Network.DialTimeout.Of(), func() { a.end(policy.StatusConnectFailed) })
+		w.scheduler.After(w.scenario.Network.DialTimeout.AsDuration(), func() { a.end(policy.StatusConnectFailed) })
 		return
 	}
 	w.scheduler.After(w.network.Delay(), a.connect)
@@ -67,7 +67,7 @@
 		return
 	}
 	a.use(c)
-	w.scheduler.After(w.network.Delay()+w.scenario.Endpoints.HandshakeDelay.Of(), a.connected)
+	w.scheduler.After(w.network.Delay()+w.scenario.Endpoints.HandshakeDelay.AsDuration(), a.connected)
 }
 
 // connected handles that a new connection is up. Its endpoint may have left the list meanwhile.
--- a/internal/emulator/virtual/connection.go
+++ b/internal/emulator/virtual/connection.go
@@ -76,14 +76,14 @@
 	c.idleSince = g.world.scheduler.Now()
 	view.idle = append(view.idle, c)
 	if !c.expiring {
-		g.scheduleIdleTimeout(c, g.world.scenario.Endpoints.IdleTimeout.Of())
+		g.scheduleIdleTimeout(c, g.world.scenario.Endpoints.IdleTimeout.AsDuration())
 	}
 }
 
 // scheduleIdleTimeout closes a connection that is still idle after the time-out. One that has been used meanwhile is
 // looked at again, so that a connection has one such function scheduled and not one for each response.
 func (g *gateway) scheduleIdleTimeout(c *connection, wait time.Duration) {
-	timeout := g.world.scenario.Endpoints.IdleTimeout.Of()
+	timeout := g.world.scenario.Endpoints.IdleTimeout.AsDuration()
 	if timeout <= 0 {
 		return
 	}
--- a/internal/emulator/virtual/gateway.go
+++ b/internal/emulator/virtual/gateway.go
@@ -179,7 +179,7 @@
 		g.views[i].closeIdle()
 	}
 	incarnation := g.incarnation
-	w.scheduler.After(w.scenario.Network.FrontDelay.Of(), func() {
+	w.scheduler.After(w.scenario.Network.FrontDelay.AsDuration(), func() {
 		if g.incarnation == incarnation && !g.running {
 			g.admitted = false
 		}
--- a/internal/emulator/virtual/run.go
+++ b/internal/emulator/virtual/run.go
@@ -64,10 +64,10 @@
 
 // play runs the scheduler until no request is open after the end of the load, and no later than all must be answered.
 func (w *world) play(ctx context.Context) error {
-	loadEnd := StartTime + w.scenario.Length.Of()
+	loadEnd := StartTime + w.scenario.Length.AsDuration()
 	latest := loadEnd + settleTime
 	for i := range w.scenario.Classes {
-		latest = max(latest, loadEnd+w.scenario.Classes[i].Deadline.Of()+settleTime)
+		latest = max(latest, loadEnd+w.scenario.Classes[i].Deadline.AsDuration()+settleTime)
 	}
 	for now := StartTime; now < latest; {
 		if err := ctx.Err(); err != nil {
--- a/internal/emulator/virtual/run_test.go
+++ b/internal/emulator/virtual/run_test.go
@@ -63,7 +63,7 @@
 		checker, counter := invariant.NewChecker(&scenario), typeCounter{}
 		summary := runOnce(t, scenario, seed, emulator.Observers{checker, counter})
 		report := checker.Finish(StartTime + summary.VirtualTime)
-		if !report.Kept() {
+		if !report.Passed() {
 			t.Errorf("seed %d: %+v", seed, report)
 		}
 		if len(counter) < 12 { // all but EndpointOverloaded
--- a/internal/emulator/virtual/world.go
+++ b/internal/emulator/virtual/world.go
@@ -112,7 +112,7 @@
 func (w *world) longestDeadline() time.Duration {
 	var longest time.Duration
 	for i := range w.scenario.Classes {
-		longest = max(longest, w.scenario.Classes[i].Deadline.Of())
+		longest = max(longest, w.scenario.Classes[i].Deadline.AsDuration())
 	}
 	return longest
 }
--- a/internal/emulator/virtual/world_test.go
+++ b/internal/emulator/virtual/world_test.go
@@ -121,9 +121,9 @@
 	if !slices.Equal(opened, []bool{true, false, true}) || w.connections != 2 {
 		t.Errorf("new connections: %v, %d in all", opened, w.connections)
 	}
-	network, endpoints := w.scenario.Network.Delay.Of(), w.scenario.Endpoints
+	network, endpoints := w.scenario.Network.Delay.AsDuration(), w.scenario.Endpoints
 	extra := w.decider.results[0].Latency - w.decider.results[1].Latency
-	if extra < 2*network+endpoints.HandshakeDelay.Of() {
+	if extra < 2*network+endpoints.HandshakeDelay.AsDuration() {
 		t.Errorf("the new connection cost only %v", extra)
 	}
 	for _, answer := range observed[emulator.RequestAnswered](w) {
@@ -149,7 +149,7 @@
 	w.submitAt(0, nil)
 	w.after(time.Second)
 	if !slices.Equal(w.statuses(), []policy.Status{policy.StatusConnectFailed}) ||
-		w.decider.results[0].Latency != w.scenario.Network.DialTimeout.Of() {
+		w.decider.results[0].Latency != w.scenario.Network.DialTimeout.AsDuration() {
 		t.Errorf("%+v", w.decider.results)
 	}
 	if sent := observed[emulator.AttemptForwarded](w); len(sent) != 0 {
@@ -321,7 +321,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if checker.Finish(StartTime + summary.VirtualTime).Kept() {
+	if checker.Finish(StartTime + summary.VirtualTime).Passed() {
 		t.Error("two attempts at once went unnoticed")
 	}
 }
--- a/internal/experiment/loopback.go
+++ b/internal/experiment/loopback.go
@@ -80,7 +80,7 @@
 		failure := &ProcessError{Crashes: summary.GatewayCrashes, NotReady: summary.ReadinessTimeouts,
 			UnknownRequests: summary.UnknownRequests}
 		return errors.Join(failure, err)
-	case errors.Is(err, loopback.ErrUnanswered) && !report.Kept():
+	case errors.Is(err, loopback.ErrUnanswered) && !report.Passed():
 		return nil
 	default:
 		return err
--- a/internal/experiment/runner.go
+++ b/internal/experiment/runner.go
@@ -45,7 +45,7 @@
 func (o *Outcome) RulesBroken() []Record {
 	var broken []Record
 	for _, record := range o.Records {
-		if !record.Rules.Kept() {
+		if !record.Rules.Passed() {
 			broken = append(broken, record)
 		}
 	}
--- a/internal/experiment/text.go
+++ b/internal/experiment/text.go
@@ -77,7 +77,7 @@
 		worst += result.Service.WorstTenSeconds / count
 		latency += result.Latency.P99 / count
 		price += result.Value.OverQuotaPrice / count
-		if !group[i].Rules.Kept() {
+		if !group[i].Rules.Passed() {
 			broken++
 		}
 	}
--- a/internal/measure/ending.go
+++ b/internal/measure/ending.go
@@ -48,7 +48,7 @@
 		return endingMissing
 	case !o.Genuine:
 		return endingSpoilt
-	case at-t.request.submitted > r.scenario.Classes[t.request.class].Objective.Of():
+	case at-t.request.submitted > r.scenario.Classes[t.request.class].Objective.AsDuration():
 		return endingLate
 	default:
 		return endingServed
--- a/internal/measure/recorder.go
+++ b/internal/measure/recorder.go
@@ -112,7 +112,7 @@
 		plan:      o.Plan,
 		class:     o.Class,
 		submitted: at,
-		expiresAt: at + class.Deadline.Of() + expiryGrace,
+		expiresAt: at + class.Deadline.AsDuration() + expiryGrace,
 		value:     class.Value * plan.Price * o.Units,
 	}
 	r.open.addRequest(opened)
--- a/internal/measure/summary.go
+++ b/internal/measure/summary.go
@@ -50,7 +50,7 @@
 		Scenario:      r.scenario.Name,
 		Gateways:      r.scenario.Gateways,
 		Endpoints:     r.scenario.Endpoints.Count,
-		LoadSeconds:   r.scenario.Length.Of().Seconds(),
+		LoadSeconds:   r.scenario.Length.AsDuration().Seconds(),
 		LengthSeconds: r.sinceStart(r.lastEvent),
 		Requests:      whole.Requests,
 		Tries:         outcomes(r.tries),
@@ -74,7 +74,7 @@
 
 // trimTimeline drops the seconds after the last event of a request, but none of the load.
 func (r *Recorder) trimTimeline() {
-	seconds := math.Ceil(max(r.scenario.Length.Of().Seconds(), r.sinceStart(r.lastEvent)))
+	seconds := math.Ceil(max(r.scenario.Length.AsDuration().Seconds(), r.sinceStart(r.lastEvent)))
 	r.timeline.seconds = r.timeline.seconds[:min(len(r.timeline.seconds), max(1, int(seconds)))]
 }
 
@@ -89,7 +89,7 @@
 }
 
 func (r *Recorder) service(result *Result) Service {
-	loadSeconds := min(len(result.Timeline), max(1, int(r.scenario.Length.Of()/time.Second)))
+	loadSeconds := min(len(result.Timeline), max(1, int(r.scenario.Length.AsDuration()/time.Second)))
 	service := Service{
 		Whole:           result.Value.Share,
 		WorstTenSeconds: worstWindow(result.Timeline[:loadSeconds]),
