--- a/internal/emulator/decider.go
+++ b/internal/emulator/decider.go
@@ -6,7 +6,8 @@
 	"springfield/policy"
 )
 
-// Decider decides for one gateway. policy.Engine is one; the baselines are others.
+// Decider takes the admission, endpoint selection and retry decisions of one gateway. policy.Engine and the baselines
+// implement it.
 type Decider interface {
 	Start(now time.Duration)
 	UpdateEndpoints(now time.Duration, kind policy.UpdateKind, list []policy.Endpoint)
@@ -19,13 +20,15 @@
 
 var _ Decider = (*policy.Engine)(nil)
 
-// Truth is the true state of a deployment, which no real gateway can see. Only oracles use it.
+// Truth provides the true state of a deployment, which no real gateway can see. Only the oracle baselines use it.
 type Truth interface {
-	// Backlog is the expected time until an endpoint would begin a new request, as it was the given age ago.
+	// Backlog returns the time after which an endpoint is expected to begin a new request. An age above zero asks for
+	// the value of that long ago.
 	Backlog(endpoint policy.EndpointID, age time.Duration) time.Duration
-	// QuotaLeft is how many units a customer has left over all gateways, as it was the given age ago.
+	// QuotaLeft returns how many units of its quota a customer has left across all gateways. An age above zero asks
+	// for the value of that long ago.
 	QuotaLeft(customer policy.CustomerID, plan int, age time.Duration) float64
 }
 
-// NewDecider returns the decider of one gateway.
+// NewDecider creates the decider of one gateway. The decider carries its decisions out through actions.
 type NewDecider func(cfg policy.Config, actions policy.Actions, truth Truth) Decider
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,8 +1,9 @@
-// Package emulator is a model of a deployment of gateways: clients, endpoints, discovery, the usage meter, the network
-// and their faults. This package holds what all of its parts share: the scenario, the scheduler, the observations that
-// a run makes, and the interface of a decider. The models are in package model; package virtual runs them with the
-// decisions of many gateways in one process on virtual time, and package loopback runs them over sockets against real
-// gateway processes.
+// Package emulator holds the types that all parts of the emulator share: the scenario, the schedulers, the observations
+// of a run and the interface of a decider. The emulator models a deployment of gateways: clients, endpoints, discovery,
+// the usage meter, the network and the faults of each.
 //
-// The models are written from the operators' pages. They are no measurements of real machines.
+// The models are in package model. Package virtual runs them in one process on virtual time, together with the deciders
+// of all gateways. Package loopback runs them over sockets against real gateway processes.
+//
+// The models follow the operators' specification documents. They are not calibrated against real machines.
 package emulator
--- a/internal/emulator/observation.go
+++ b/internal/emulator/observation.go
@@ -6,15 +6,16 @@
 	"springfield/policy"
 )
 
-// RequestKey names a request of a client in a run. Keys are never reused; a client's retry is another request.
+// RequestKey identifies a client's request within a run. Keys are never reused. A client's retry is a new request with
+// a key of its own.
 type RequestKey uint64
 
-// Observer is told of what happens in a run, in the order in which it happens. It is called by one goroutine at a time.
+// Observer receives the events of a run in the order in which they happen. Observe is never called concurrently.
 type Observer interface {
 	Observe(at time.Duration, observation Observation)
 }
 
-// Observers passes each observation on to all of them.
+// Observers is a list of observers that each receive every observation.
 type Observers []Observer
 
 // Observe implements Observer.
@@ -24,33 +25,33 @@
 	}
 }
 
-// Observation is one of the types of this file.
+// Observation is an event of a run. The types of this file implement it.
 type Observation interface{ isObservation() }
 
-// Answer is the kind of a final answer that a client gets.
+// Answer is the kind of final answer that a client gets.
 type Answer uint8
 
-// The kinds of a final answer.
+// The kinds of final answer.
 const (
-	AnswerServed   Answer = iota + 1 // a complete response of an endpoint
-	AnswerRejected                   // 429 or 503: nothing was executed, a retry is harmless
-	AnswerFailed                     // any other
-	AnswerMissing                    // the connection ended without a complete response
+	AnswerServed   Answer = iota + 1 // complete response of an endpoint
+	AnswerRejected                   // status 429 or 503: nothing was executed, so a retry is safe
+	AnswerFailed                     // any other complete response
+	AnswerMissing                    // connection that ended without a complete response
 )
 
-// RequestSubmitted tells that a gateway's machine has received the last byte of a request.
+// RequestSubmitted reports that a gateway's machine has received the last byte of a request.
 type RequestSubmitted struct {
 	Request  RequestKey
-	Original RequestKey // of the first try; equal to Request for that one
+	Original RequestKey // key of the client's first try; equals Request on the first try
 	Gateway  int
 	Customer policy.CustomerID
 	Plan     int
 	Class    int
-	Units    float64       // the guess that the request carries
-	Deadline time.Duration // when the client gives up
+	Units    float64       // size that the request states; the true size may differ
+	Deadline time.Duration // Unix time at which the client stops waiting
 }
 
-// AttemptForwarded tells that a gateway has begun to send an attempt.
+// AttemptForwarded reports that a gateway has started to send an attempt.
 type AttemptForwarded struct {
 	Request       RequestKey
 	Attempt       int
@@ -59,72 +60,74 @@
 	NewConnection bool
 }
 
-// AttemptReceived tells that an attempt has reached its endpoint complete. A client's first one takes the units.
+// AttemptReceived reports that an endpoint has received a complete attempt. Only the first received attempt of a
+// request is charged to the customer's quota and ceiling.
 type AttemptReceived struct {
 	Request  RequestKey
 	Attempt  int
 	Gateway  int
 	Endpoint policy.EndpointID
-	Units    float64 // the true units
+	Units    float64 // true size of the request
 }
 
-// AttemptEnded tells that an attempt has ended: its response was written or its connection ended.
+// AttemptEnded reports the end of an attempt: its response was written or its connection ended.
 type AttemptEnded struct {
 	Request  RequestKey
 	Attempt  int
 	Gateway  int
 	Endpoint policy.EndpointID
-	Status   policy.Status // as the gateway can tell
-	Executed bool          // the endpoint has executed it, or will
+	Status   policy.Status // outcome that the gateway can observe
+	Executed bool          // the endpoint has executed the attempt or will execute it
 }
 
-// RequestAnswered tells that the client has got its final answer.
+// RequestAnswered reports that the client has received its final answer.
 type RequestAnswered struct {
 	Request RequestKey
 	Gateway int
 	Answer  Answer
-	Genuine bool // a served answer is the one that an endpoint made for this request
+	Genuine bool // whether a served answer is the one that an endpoint produced for this request
 }
 
-// ClientDisconnected tells that a client has closed its connection and is owed nothing any more.
+// ClientDisconnected reports that a client has closed its connection. Its request no longer needs an answer.
 type ClientDisconnected struct {
 	Request RequestKey
 	Gateway int
 }
 
-// EndpointNotified tells that a gateway counts as notified of an endpoint's state.
+// EndpointNotified reports that a gateway counts as notified of an endpoint's state.
 type EndpointNotified struct {
 	Gateway  int
 	Endpoint policy.EndpointID
 	State    policy.EndpointState
-	Started  time.Duration
+	Started  time.Duration // Unix time at which the endpoint's process started
 }
 
-// EndpointStarted tells that an endpoint's process has started. It warms up unless WarmUp is zero.
+// EndpointStarted reports that an endpoint's process has started.
 type EndpointStarted struct {
 	Endpoint policy.EndpointID
-	Warming  bool
+	Warming  bool // the endpoint goes through slow start
 }
 
-// EndpointOverloaded tells that an endpoint has failed because it got too much while it warmed up.
+// EndpointOverloaded reports that an endpoint has failed because it received too much work while it warmed up.
 type EndpointOverloaded struct {
 	Endpoint      policy.EndpointID
-	InformedShare float64 // of the work that came from gateways that counted as notified of its start
+	InformedShare float64 // share of that work from gateways that counted as notified of its start
 }
 
-// EndpointStopped tells that an endpoint's process has ended.
+// EndpointStopped reports that an endpoint's process has ended.
 type EndpointStopped struct{ Endpoint policy.EndpointID }
 
-// GatewayStarted tells that a gateway is ready.
+// GatewayStarted reports that a gateway is ready.
 type GatewayStarted struct{ Gateway int }
 
-// GatewayStopped tells that a gateway has ended. What it owed is lost unless it was killed by the scenario.
+// GatewayStopped reports that a gateway's process has ended. Its unanswered requests count as lost, except when a fault
+// of the scenario killed it.
 type GatewayStopped struct {
 	Gateway int
-	Killed  bool
+	Killed  bool // a fault of the scenario killed the gateway
 }
 
-// FaultChanged tells that a fault of the scenario begins or ends.
+// FaultChanged reports that a fault of the scenario begins or ends.
 type FaultChanged struct {
 	Fault  Fault
 	Active bool
--- a/internal/emulator/scheduler.go
+++ b/internal/emulator/scheduler.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Scheduler gives the time and runs functions later. Times are Unix time. Functions run one at a time, so that the
-// models need no locks.
+// Scheduler provides the current time and runs functions after a delay. Times are Unix time. Functions run one at a
+// time, so the models need no locks.
 type Scheduler interface {
 	Now() time.Duration
 	// After runs a function once the delay has passed. Functions that are due at the same time run in the order in
-	// which they were scheduled. A negative delay counts as none.
+	// which they were scheduled. A negative delay counts as zero.
 	After(delay time.Duration, run func())
 }
 
-// VirtualScheduler is a discrete-event scheduler: its time jumps from one function to the next. It is not safe for
-// concurrent use.
+// VirtualScheduler is a discrete-event scheduler: its clock jumps to the due time of the next function. It is not safe
+// for concurrent use.
 type VirtualScheduler struct {
 	now      time.Duration
-	pending  scheduledQueue
+	pending  functionHeap
 	sequence uint64
 	executed int64
 }
 
-// NewVirtualScheduler returns a scheduler whose time begins at start.
+// NewVirtualScheduler returns a scheduler whose clock starts at the given Unix time.
 func NewVirtualScheduler(start time.Duration) *VirtualScheduler {
 	return &VirtualScheduler{now: start}
 }
@@ -31,13 +31,13 @@
 // Now returns the virtual time.
 func (s *VirtualScheduler) Now() time.Duration { return s.now }
 
-// After schedules a function.
+// After implements Scheduler.
 func (s *VirtualScheduler) After(delay time.Duration, run func()) {
 	s.sequence++
-	s.pending.push(scheduled{at: s.now + max(0, delay), sequence: s.sequence, run: run})
+	s.pending.push(scheduledFunction{at: s.now + max(0, delay), sequence: s.sequence, run: run})
 }
 
-// RunUntil runs all functions that are due up to the given time, which is then the present one.
+// RunUntil runs all functions that are due up to and including the given time and sets the clock to that time.
 func (s *VirtualScheduler) RunUntil(end time.Duration) {
 	for len(s.pending) > 0 && s.pending[0].at <= end {
 		next := s.pending.pop()
@@ -48,23 +48,24 @@
 	s.now = max(s.now, end)
 }
 
-// Executed returns how many functions have run.
+// Executed returns the number of functions that have run.
 func (s *VirtualScheduler) Executed() int64 { return s.executed }
 
-type scheduled struct {
+// scheduledFunction is a function that waits for its due time.
+type scheduledFunction struct {
 	at       time.Duration
-	sequence uint64
+	sequence uint64 // functions that are due at the same time run in this order
 	run      func()
 }
 
-func (f scheduled) before(other scheduled) bool {
+func (f scheduledFunction) before(other scheduledFunction) bool {
 	return f.at < other.at || f.at == other.at && f.sequence < other.sequence
 }
 
-// scheduledQueue is a binary heap. container/heap would allocate for each function.
-type scheduledQueue []scheduled
+// functionHeap is a binary heap of functions, ordered by due time. container/heap would allocate memory for each one.
+type functionHeap []scheduledFunction
 
-func (q *scheduledQueue) push(f scheduled) {
+func (q *functionHeap) push(f scheduledFunction) {
 	*q = append(*q, f)
 	queue := *q
 	child := len(queue) - 1
@@ -78,19 +79,19 @@
 	}
 }
 
-// pop removes the function that is due first.
-func (q *scheduledQueue) pop() scheduled {
+// pop removes and returns the function that is due first.
+func (q *functionHeap) pop() scheduledFunction {
 	queue := *q
 	first, last := queue[0], len(queue)-1
 	queue[0] = queue[last]
-	queue[last] = scheduled{} // frees the function
+	queue[last] = scheduledFunction{} // releases the function to the garbage collector
 	*q = queue[:last]
-	q.sink()
+	q.siftDown()
 	return first
 }
 
-// sink restores the order after the first element was replaced.
-func (q scheduledQueue) sink() {
+// siftDown restores the heap order after the first element was replaced.
+func (q functionHeap) siftDown() {
 	parent := 0
 	for {
 		child := 2*parent + 1
@@ -108,25 +109,25 @@
 	}
 }
 
-// WallScheduler runs functions in real time, one at a time. Other goroutines enter the models through Do.
+// WallScheduler runs functions in real time, one at a time. Other goroutines access the models through Do.
 type WallScheduler struct {
 	mu      sync.Mutex
 	stopped bool
 }
 
-// NewWallScheduler returns a scheduler on the machine's clock.
+// NewWallScheduler returns a scheduler that uses the machine's clock.
 func NewWallScheduler() *WallScheduler { return &WallScheduler{} }
 
 // Now returns the time of the machine's clock.
 func (s *WallScheduler) Now() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// After schedules a function. It does not run if the scheduler is stopped before.
+// After implements Scheduler. Functions that are due after Stop do not run.
 func (s *WallScheduler) After(delay time.Duration, run func()) {
 	time.AfterFunc(max(0, delay), func() { s.Do(run) })
 }
 
-// Do runs a function between two scheduled ones, unless the scheduler has been stopped. A scheduled function must not
-// call it.
+// Do runs a function while no scheduled function runs. It does nothing after Stop. A scheduled function must not call
+// Do, because the two would deadlock.
 func (s *WallScheduler) Do(run func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +136,7 @@
 	}
 }
 
-// Stop waits for the function that runs and lets no more of them run.
+// Stop waits for the running function to return and prevents all further ones.
 func (s *WallScheduler) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/scheduler_test.go
+++ b/internal/emulator/scheduler_test.go
@@ -7,31 +7,34 @@
 	"time"
 )
 
-func TestVirtualSchedulerRunsInOrderOfTime(t *testing.T) {
+// Guards against functions that run out of order, run past the end time, or are lost when a function schedules another
+// one with a negative delay.
+func TestVirtualSchedulerRunsFunctionsInTimeOrder(t *testing.T) {
 	const start = time.Hour
 	scheduler := NewVirtualScheduler(start)
 	var ran []string
-	note := func(name string) func() {
+	record := func(name string) func() {
 		return func() { ran = append(ran, name) }
 	}
-	scheduler.After(2*time.Second, note("third"))
+	scheduler.After(2*time.Second, record("third"))
 	scheduler.After(time.Second, func() {
-		note("first")()
-		scheduler.After(-time.Second, note("second")) // due at once
+		record("first")()
+		scheduler.After(-time.Second, record("second")) // a negative delay counts as zero
 	})
-	scheduler.After(2*time.Second, note("fourth")) // after the one that was scheduled before it
-	scheduler.After(4*time.Second, note("too late"))
+	scheduler.After(2*time.Second, record("fourth")) // due with "third", but scheduled later
+	scheduler.After(4*time.Second, record("too late"))
 	scheduler.RunUntil(start + 3*time.Second)
 	if want := []string{"first", "second", "third", "fourth"}; !slices.Equal(ran, want) {
 		t.Errorf("ran %v, want %v", ran, want)
 	}
 	if scheduler.Now() != start+3*time.Second || scheduler.Executed() != 4 {
-		t.Errorf("at %v after %d functions", scheduler.Now()-start, scheduler.Executed())
+		t.Errorf("time = %v after %d functions, want 3s after 4", scheduler.Now()-start, scheduler.Executed())
 	}
 }
 
-// Many functions at few different times run by time, and at the same time in the order in which they were scheduled.
-func TestVirtualSchedulerKeepsTheOrderOfManyFunctions(t *testing.T) {
+// Guards against a heap that breaks the order of many functions with few distinct due times. Functions that are due at
+// the same time must run in the order in which they were scheduled.
+func TestVirtualSchedulerKeepsSchedulingOrderForEqualTimes(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	scheduler := NewVirtualScheduler(0)
 	type due struct {
@@ -47,30 +50,32 @@
 	slices.SortStableFunc(want, func(a, b due) int { return int(a.at - b.at) })
 	scheduler.RunUntil(time.Second)
 	if !slices.Equal(ran, want) {
-		t.Error("the functions ran in another order")
+		t.Error("functions did not run in the order of due time and scheduling")
 	}
 }
 
+// Guards against functions that still run after Stop, when the models may already be gone.
 func TestWallSchedulerRunsNothingAfterStop(t *testing.T) {
 	scheduler := NewWallScheduler()
 	ran := make(chan struct{})
 	scheduler.After(0, func() { close(ran) })
 	<-ran
 	scheduler.Stop()
-	scheduler.Do(func() { t.Error("ran after the scheduler was stopped") })
+	scheduler.Do(func() { t.Error("a function ran after the scheduler was stopped") })
 }
 
-func TestDurationIsWrittenWithUnit(t *testing.T) {
+// Guards against durations without a unit in scenario files, which would be ambiguous.
+func TestDurationRequiresUnit(t *testing.T) {
 	var d Duration
 	if err := d.UnmarshalText([]byte("1.5s")); err != nil || d.AsDuration() != 1500*time.Millisecond {
-		t.Errorf("got %v, %v", d.AsDuration(), err)
+		t.Errorf("UnmarshalText(1.5s) = %v, %v", d.AsDuration(), err)
 	}
 	if text, err := d.MarshalText(); err != nil || string(text) != "1.5s" {
-		t.Errorf("got %s, %v", text, err)
+		t.Errorf("MarshalText() = %q, %v; want 1.5s", text, err)
 	}
 	for _, text := range []string{"", "5", "soon"} {
 		if err := d.UnmarshalText([]byte(text)); err == nil {
-			t.Errorf("%q is no duration", text)
+			t.Errorf("UnmarshalText(%q) returned no error", text)
 		}
 	}
 }
