--- a/internal/emulator/invariant/stream_test.go
+++ b/internal/emulator/invariant/stream_test.go
@@ -8,10 +8,10 @@
 	"springfield/policy"
 )
 
-// startTime is when the streams of the tests begin.
+// startTime is the Unix time at which the streams of the tests start.
 const startTime = 1_700_000_000 * time.Second
 
-// The classes of testScenario.
+// The indices of the classes in testScenario.
 const (
 	classIdempotent = iota
 	classAtMostOnce
@@ -20,6 +20,7 @@
 	classKeyCell
 )
 
+// testScenario returns a scenario with one class for each idempotency and key scope, and one plan with a ceiling.
 func testScenario() *emulator.Scenario {
 	class := func(idempotency, scope string) emulator.Class {
 		return emulator.Class{
@@ -40,7 +41,7 @@
 	}
 }
 
-// stream is an observation stream that a test writes by hand. Times are milliseconds from its start.
+// stream feeds a Checker with observations that a test writes by hand.
 type stream struct {
 	checker *Checker
 	now     time.Duration
@@ -54,7 +55,7 @@
 	return s
 }
 
-// at moves the stream on to a time.
+// at advances the stream to a time in milliseconds from its start.
 func (s *stream) at(milliseconds int) *stream {
 	s.now = startTime + time.Duration(milliseconds)*time.Millisecond
 	return s
@@ -65,14 +66,14 @@
 	return s
 }
 
-// submit submits a request of 4 s to gateway 0.
+// submit submits a request with a deadline of 4 s to gateway 0.
 func (s *stream) submit(key emulator.RequestKey, class int) *stream {
 	return s.observe(emulator.RequestSubmitted{
 		Request: key, Original: key, Class: class, Units: 1, Deadline: s.now + 4*time.Second,
 	})
 }
 
-// submitUnits submits an idempotent request of a customer of the plan with a ceiling.
+// submitUnits submits an idempotent request of a customer whose plan has a ceiling.
 func (s *stream) submitUnits(key emulator.RequestKey, customer policy.CustomerID, units float64) *stream {
 	return s.observe(emulator.RequestSubmitted{
 		Request: key, Original: key, Customer: customer, Plan: 1, Units: units, Deadline: s.now + 4*time.Second,
@@ -107,13 +108,15 @@
 	return s.observe(emulator.GatewayStopped{Killed: killed})
 }
 
-func (s *stream) startGateway() *stream { return s.observe(emulator.GatewayStarted{}) }
+func (s *stream) startGateway() *stream {
+	return s.observe(emulator.GatewayStarted{})
+}
 
-// finish ends the stream long after all of its requests are due.
+// finish ends the stream a minute later, when all of its requests are overdue.
 func (s *stream) finish() Report { return s.checker.Finish(s.now + time.Minute) }
 
-// assertBroken checks that exactly one rule was broken, once, or none if rule is empty.
-func assertBroken(t *testing.T, report Report, rule Rule) {
+// assertViolation checks that the report lists exactly one violation, of the given rule, or none if rule is empty.
+func assertViolation(t *testing.T, report Report, rule Rule) {
 	t.Helper()
 	if rule == "" {
 		if !report.Passed() || len(report.Violations) != 0 {
@@ -122,9 +125,9 @@
 		return
 	}
 	if report.Passed() || len(report.Violations) != 1 {
-		t.Fatalf("violations = %+v, want one of %s", report.Violations, rule)
+		t.Fatalf("violations = %+v, want exactly one, of %s", report.Violations, rule)
 	}
 	if got := report.Violations[0]; got.Rule != rule || got.Count != 1 {
-		t.Errorf("violation = %+v, want one of %s", got, rule)
+		t.Errorf("violation = %+v, want exactly one, of %s", got, rule)
 	}
 }
