--- a/internal/emulator/observation.go
+++ b/internal/emulator/observation.go
@@ -111,7 +111,7 @@
 // EndpointOverloaded reports that an endpoint has failed because it received too much work while it warmed up.
 type EndpointOverloaded struct {
 	Endpoint      policy.EndpointID
-	InformedShare float64 // share of that work from gateways that counted as notified of its start
+	InformedShare float64 // share of the overloading work from gateways that counted as notified of its start
 }
 
 // EndpointStopped reports that an endpoint's process has ended.
