--- a/internal/emulator/virtual/attempt.go
+++ b/internal/emulator/virtual/attempt.go
@@ -10,7 +10,7 @@
 
 // attempt is one attempt of a gateway to have a request served by an endpoint.
 type attempt struct {
-	call        *call
+	request     *request
 	endpoint    *endpoint
 	number      int
 	forwardedAt time.Duration // when the decider asked for it
@@ -19,23 +19,23 @@
 	newConnection bool
 	activeIndex   int // in endpoint.active, or notActive
 
-	sent     bool // its first byte is on its way
-	received bool // it has reached the endpoint complete
-	executed bool // the endpoint has executed it, or will, or the gateway can't exclude it
-	observed bool // its end has been
-	ended    bool // the gateway waits for it no longer
+	sent        bool // its first byte is on its way
+	received    bool // it has reached the endpoint complete
+	executed    bool // the endpoint has executed it, or will, or the gateway can't exclude it
+	endObserved bool // its end has been
+	ended       bool // the gateway waits for it no longer
 }
 
-// begin sends the attempt on an idle connection, or opens one.
-func (a *attempt) begin() {
-	g := a.call.gateway
+// start sends the attempt on an idle connection, or opens one.
+func (a *attempt) start() {
+	g := a.request.gateway
 	w := g.world
 	if a.endpoint == nil || g.view(a.endpoint.id).state != policy.StateReady {
 		w.scheduler.After(0, func() { a.end(policy.StatusNotSent) })
 		return
 	}
 	if c := g.view(a.endpoint.id).acquireIdle(w.scheduler.Now()); c != nil {
-		a.use(c)
+		a.useConnection(c)
 		a.send()
 		return
 	}
@@ -44,38 +44,38 @@
 		w.scheduler.After(w.scenario.Network.DialTimeout.Of(), func() { a.end(policy.StatusConnectFailed) })
 		return
 	}
-	w.scheduler.After(w.network.Delay(), a.connect)
+	w.scheduler.After(w.network.Delay(), a.handleConnect)
 }
 
-// use takes a connection for the attempt.
-func (a *attempt) use(c *connection) {
+// useConnection takes a connection for the attempt.
+func (a *attempt) useConnection(c *connection) {
 	a.connection = c
 	a.endpoint.addActive(a)
 }
 
-// connect handles that a new connection is asked for at the endpoint.
-func (a *attempt) connect() {
-	w := a.call.gateway.world
+// handleConnect handles that a new connection is asked for at the endpoint.
+func (a *attempt) handleConnect() {
+	w := a.request.gateway.world
 	if a.endpoint.stopped() || !a.endpoint.server.Connect() {
 		w.scheduler.After(w.network.Delay(), func() { a.end(policy.StatusConnectFailed) })
 		return
 	}
 	c := &connection{endpoint: a.endpoint, incarnation: a.endpoint.incarnation}
 	w.connections++
-	if a.ended || a.call.orphaned() {
+	if a.ended || a.request.orphaned() {
 		c.close()
 		return
 	}
-	a.use(c)
-	w.scheduler.After(w.network.Delay()+w.scenario.Endpoints.HandshakeDelay.Of(), a.connected)
+	a.useConnection(c)
+	w.scheduler.After(w.network.Delay()+w.scenario.Endpoints.HandshakeDelay.Of(), a.handleConnected)
 }
 
-// connected handles that a new connection is up. Its endpoint may have left the list meanwhile.
-func (a *attempt) connected() {
+// handleConnected handles that a new connection is up. Its endpoint may have left the list meanwhile.
+func (a *attempt) handleConnected() {
 	if a.ended || a.connection.isLost() {
 		return
 	}
-	if a.call.gateway.view(a.endpoint.id).state != policy.StateReady {
+	if a.request.gateway.view(a.endpoint.id).state != policy.StateReady {
 		a.end(policy.StatusNotSent)
 		return
 	}
@@ -83,30 +83,30 @@
 }
 
 func (a *attempt) send() {
-	g := a.call.gateway
+	g := a.request.gateway
 	w := g.world
 	w.attempts++
 	a.sent, a.executed = true, true
 	w.observe(emulator.AttemptForwarded{
-		Request:       a.call.arrival.Request,
+		Request:       a.request.arrival.Request,
 		Attempt:       a.number,
 		Gateway:       g.number,
 		Endpoint:      a.endpoint.id,
 		NewConnection: a.newConnection,
 	})
 	connection := a.connection
-	w.scheduler.After(w.network.Delay(), func() { a.receive(connection) })
+	w.scheduler.After(w.network.Delay(), func() { a.handleReceived(connection) })
 }
 
-// receive handles that the attempt has reached its endpoint complete, perhaps after the gateway has given it up.
-func (a *attempt) receive(c *connection) {
-	g := a.call.gateway
+// handleReceived handles that the attempt has reached its endpoint complete, perhaps after the gateway has given it up.
+func (a *attempt) handleReceived(c *connection) {
+	g := a.request.gateway
 	w := g.world
 	if c.isLost() || !w.reachable(g, a.endpoint) {
 		return
 	}
 	a.received = true
-	arrival := &a.call.arrival
+	arrival := &a.request.arrival
 	w.observe(emulator.AttemptReceived{
 		Request:  arrival.Request,
 		Attempt:  a.number,
@@ -114,32 +114,32 @@
 		Endpoint: a.endpoint.id,
 		Units:    arrival.TrueUnits,
 	})
-	w.takeUnits(a.call)
-	if !a.observed {
+	w.chargeUnits(a.request)
+	if !a.endObserved {
 		w.ledger.BeginAttempt(arrival.Customer, arrival.Plan)
 	}
-	informed := g.view(a.endpoint.id).notified >= a.endpoint.server.StartedAt()
+	informed := g.view(a.endpoint.id).notifiedStart >= a.endpoint.server.StartedAt()
 	a.endpoint.server.Submit(model.Job{Work: arrival.Work, Gateway: g.number, Informed: informed, Done: a.respond})
 	if w.resetShare > 0 && w.attemptRandom.Float64() < w.resetShare {
-		wait := w.attemptRandom.Float64() * 2 * float64(arrival.Work)
-		w.scheduler.After(time.Duration(wait), func() { a.reset(c) })
+		resetDelay := w.attemptRandom.Float64() * 2 * float64(arrival.Work)
+		w.scheduler.After(time.Duration(resetDelay), func() { a.reset(c) })
 	}
 }
 
 // reset breaks the connection of an attempt under it.
 func (a *attempt) reset(c *connection) {
-	if a.ended || a.observed || c.isLost() {
+	if a.ended || a.endObserved || c.isLost() {
 		return
 	}
 	a.endpoint.removeActive(a)
-	a.connectionLost()
+	a.handleConnectionLost()
 }
 
-// connectionLost handles at the endpoint that the attempt's connection is broken. The gateway learns of it a little
-// later, unless it is cut off.
-func (a *attempt) connectionLost() {
-	w := a.call.gateway.world
-	if a.ended || !w.reachable(a.call.gateway, a.endpoint) {
+// handleConnectionLost handles at the endpoint that the attempt's connection is broken. The gateway learns of it a
+// little later, unless it is cut off.
+func (a *attempt) handleConnectionLost() {
+	w := a.request.gateway.world
+	if a.ended || !w.reachable(a.request.gateway, a.endpoint) {
 		return
 	}
 	status := policy.StatusConnectFailed
@@ -159,27 +159,27 @@
 
 // respond handles that the endpoint is done with the attempt. It is a model.Job's Done.
 func (a *attempt) respond(result model.JobResult) {
-	g := a.call.gateway
+	g := a.request.gateway
 	w := g.world
 	a.executed = result != model.JobRejected
 	if a.ended || a.activeIndex == notActive || !w.reachable(g, a.endpoint) {
 		return
 	}
-	r := response{status: jobStatus(result)}
-	if r.status == policy.StatusOK {
+	resp := response{status: jobStatus(result)}
+	if resp.status == policy.StatusOK {
 		if w.spoiltShare > 0 && w.attemptRandom.Float64() < w.spoiltShare {
-			a.connectionLost() // the gateway can't read the answer and closes the connection
+			a.handleConnectionLost() // the gateway can't read the answer and closes the connection
 			return
 		}
-		w.settleUnits(a.call)
+		w.settleUnits(a.request)
 	}
-	arrival := &a.call.arrival
-	r.usage, r.hasUsage = w.meter.Reading(w.scheduler.Now(), arrival.Customer, w.scenario.Plans[arrival.Plan].Rate)
+	arrival := &a.request.arrival
+	resp.usage, resp.hasUsage = w.meter.Reading(w.scheduler.Now(), arrival.Customer, w.scenario.Plans[arrival.Plan].Rate)
 	if w.scenario.Endpoints.LoadReports {
-		r.load = a.endpoint.server.Load()
+		resp.load = a.endpoint.server.Load()
 	}
-	a.observeEnd(r.status)
-	w.scheduler.After(w.network.Delay(), func() { a.finish(r) })
+	a.observeEnd(resp.status)
+	w.scheduler.After(w.network.Delay(), func() { a.handleResponse(resp) })
 }
 
 func jobStatus(result model.JobResult) policy.Status {
@@ -193,16 +193,16 @@
 	}
 }
 
-// finish handles that the response has reached the gateway.
-func (a *attempt) finish(r response) {
+// handleResponse handles that the response has reached the gateway.
+func (a *attempt) handleResponse(resp response) {
 	if a.ended {
 		return
 	}
 	a.ended = true
 	a.endpoint.removeActive(a)
-	if !a.call.orphaned() {
-		a.call.gateway.releaseConnection(a.connection)
-		a.call.attemptFinished(a, r)
+	if !a.request.orphaned() {
+		a.request.gateway.releaseConnection(a.connection)
+		a.request.attemptFinished(a, resp)
 	}
 }
 
@@ -212,8 +212,8 @@
 		return
 	}
 	a.abandon(status)
-	if !a.call.orphaned() {
-		a.call.attemptFinished(a, response{status: status})
+	if !a.request.orphaned() {
+		a.request.attemptFinished(a, response{status: status})
 	}
 }
 
@@ -236,11 +236,11 @@
 }
 
 func (a *attempt) observeEnd(status policy.Status) {
-	if a.observed || a.endpoint == nil {
+	if a.endObserved || a.endpoint == nil {
 		return
 	}
-	a.observed = true
-	g, arrival := a.call.gateway, &a.call.arrival
+	a.endObserved = true
+	g, arrival := a.request.gateway, &a.request.arrival
 	if a.received {
 		g.world.ledger.EndAttempt(arrival.Customer, arrival.Plan)
 	}
--- a/internal/emulator/virtual/connection.go
+++ b/internal/emulator/virtual/connection.go
@@ -12,11 +12,11 @@
 
 // connection is one from a gateway to an endpoint's process.
 type connection struct {
-	endpoint    *endpoint
-	incarnation int // of the endpoint's process
-	idleSince   time.Duration
-	expiring    bool // its idle time-out is scheduled
-	closed      bool
+	endpoint           *endpoint
+	incarnation        int // of the endpoint's process
+	idleSince          time.Duration
+	idleTimerScheduled bool // its idle time-out is scheduled
+	closed             bool
 }
 
 // isLost reports whether the process at the other end has ended.
@@ -35,11 +35,11 @@
 
 // endpointView is what a gateway knows of an endpoint, and its idle connections to it.
 type endpointView struct {
-	known     bool // it has been in the list
-	state     policy.EndpointState
-	startedAt time.Duration
-	notified  time.Duration // the start that the gateway counts as notified of
-	idle      []*connection // in the order in which they became idle
+	known         bool // it has been in the list
+	state         policy.EndpointState
+	startedAt     time.Duration
+	notifiedStart time.Duration // the start that the gateway counts as notified of
+	idle          []*connection // in the order in which they became idle
 }
 
 // acquireIdle returns an idle connection that can be reused: of those that have rested, the one that was used last. It
@@ -75,21 +75,21 @@
 	}
 	c.idleSince = g.world.scheduler.Now()
 	view.idle = append(view.idle, c)
-	if !c.expiring {
+	if !c.idleTimerScheduled {
 		g.scheduleIdleTimeout(c, g.world.scenario.Endpoints.IdleTimeout.Of())
 	}
 }
 
 // scheduleIdleTimeout closes a connection that is still idle after the time-out. One that has been used meanwhile is
 // looked at again, so that a connection has one such function scheduled and not one for each response.
-func (g *gateway) scheduleIdleTimeout(c *connection, wait time.Duration) {
+func (g *gateway) scheduleIdleTimeout(c *connection, delay time.Duration) {
 	timeout := g.world.scenario.Endpoints.IdleTimeout.Of()
 	if timeout <= 0 {
 		return
 	}
-	c.expiring = true
-	g.world.scheduler.After(wait, func() {
-		c.expiring = false
+	c.idleTimerScheduled = true
+	g.world.scheduler.After(delay, func() {
+		c.idleTimerScheduled = false
 		if c.closed || c.isLost() {
 			return
 		}
@@ -98,8 +98,8 @@
 		if i < 0 {
 			return // in use: its release schedules the next look
 		}
-		if left := c.idleSince + timeout - g.world.scheduler.Now(); left > 0 {
-			g.scheduleIdleTimeout(c, left)
+		if remaining := c.idleSince + timeout - g.world.scheduler.Now(); remaining > 0 {
+			g.scheduleIdleTimeout(c, remaining)
 			return
 		}
 		view.idle = slices.Delete(view.idle, i, i+1)
--- a/internal/emulator/virtual/endpoint.go
+++ b/internal/emulator/virtual/endpoint.go
@@ -15,7 +15,7 @@
 	server      *model.Server
 	incarnation int        // of its process; connections to an earlier one are gone
 	active      []*attempt // that have a connection to its process; the seed determines their order
-	cuts        int        // partitions that cut it off from all gateways now
+	partitions  int        // partitions that cut it off from all gateways now
 }
 
 // addEndpoint starts a new endpoint. startedAt 0 means that it has run for long.
@@ -68,7 +68,7 @@
 	e.active = nil
 	for _, a := range active {
 		a.activeIndex = notActive
-		a.connectionLost()
+		a.handleConnectionLost()
 	}
 }
 
--- a/internal/emulator/virtual/faults.go
+++ b/internal/emulator/virtual/faults.go
@@ -71,17 +71,17 @@
 
 // CutEndpoint implements model.FaultTarget.
 func (t faultTarget) CutEndpoint(id policy.EndpointID, cut bool) {
-	t.w.endpoint(id).cuts += cutChange(cut)
+	t.w.endpoint(id).partitions += partitionChange(cut)
 }
 
 // CutZone implements model.FaultTarget.
 func (t faultTarget) CutZone(zone int, cut bool) {
-	if zone < len(t.w.zoneCuts) {
-		t.w.zoneCuts[zone] += cutChange(cut)
+	if zone < len(t.w.partitionsByZone) {
+		t.w.partitionsByZone[zone] += partitionChange(cut)
 	}
 }
 
-func cutChange(cut bool) int {
+func partitionChange(cut bool) int {
 	if cut {
 		return 1
 	}
@@ -105,7 +105,7 @@
 	t.w.discovery.Silence()
 	for _, g := range t.w.gateways {
 		if g.running {
-			g.reopenWatch(watchSilenceLimit)
+			g.reopenWatch(watchTimeout)
 		}
 	}
 }
--- a/internal/emulator/virtual/gateway.go
+++ b/internal/emulator/virtual/gateway.go
@@ -16,8 +16,8 @@
 	// drainDelay is how long a gateway accepts new connections after it was told to end.
 	drainDelay = 500 * time.Millisecond
 
-	// killNotBefore bounds how long requests may take in a drain.
-	killNotBefore = 3 * time.Second
+	// maxDrainDuration bounds how long requests may take in a drain.
+	maxDrainDuration = 3 * time.Second
 
 	// exitMargin is for the last answers to reach their clients.
 	exitMargin = 100 * time.Millisecond
@@ -42,10 +42,10 @@
 	decider     emulator.Decider
 	incarnation int  // of the process
 	running     bool // the process is
-	admitted    bool // the front brings new requests
+	inRotation  bool // the front brings new requests
 	answerBy    time.Duration
 	draining    bool
-	calls       map[policy.RequestID]*call // open ones
+	requests    map[policy.RequestID]*request // open ones
 	lastID      policy.RequestID
 
 	views       []endpointView // by endpoint id, from 1
@@ -69,8 +69,8 @@
 	}
 	w := g.world
 	g.incarnation++
-	g.running, g.admitted, g.draining, g.answerBy = true, true, false, 0
-	g.calls, g.views = map[policy.RequestID]*call{}, nil
+	g.running, g.inRotation, g.draining, g.answerBy = true, true, false, 0
+	g.requests, g.views = map[policy.RequestID]*request{}, nil
 	config := g.config
 	config.Seed = w.gatewayRandom.Uint64()
 	g.decider = w.newDecider(config, actions{g}, w.truth)
@@ -81,30 +81,30 @@
 }
 
 // submit passes a new request to the decider.
-func (g *gateway) submit(c *call) {
+func (g *gateway) submit(r *request) {
 	now := g.world.scheduler.Now()
 	g.lastID++
-	c.id, c.incarnation, c.open = g.lastID, g.incarnation, true
+	r.id, r.incarnation, r.open = g.lastID, g.incarnation, true
 	if g.draining {
-		c.deadline = min(c.deadline, g.answerBy)
+		r.deadline = min(r.deadline, g.answerBy)
 	}
-	g.calls[c.id] = c
+	g.requests[r.id] = r
 	g.decider.Submit(now, policy.Request{
-		ID:       c.id,
-		Class:    c.arrival.Class,
-		Plan:     c.arrival.Plan,
-		Customer: c.arrival.Customer,
-		TimeLeft: c.deadline - now,
-		Units:    c.arrival.Units,
-		SetSize:  c.arrival.SetSize,
-		SetFirst: c.arrival.SetFirst,
+		ID:       r.id,
+		Class:    r.arrival.Class,
+		Plan:     r.arrival.Plan,
+		Customer: r.arrival.Customer,
+		TimeLeft: r.deadline - now,
+		Units:    r.arrival.Units,
+		SetSize:  r.arrival.SetSize,
+		SetFirst: r.arrival.SetFirst,
 	})
 }
 
-// closeCall forgets a request that is owed nothing any more.
-func (g *gateway) closeCall(c *call) {
-	c.open = false
-	delete(g.calls, c.id)
+// closeRequest forgets a request that is owed nothing any more.
+func (g *gateway) closeRequest(r *request) {
+	r.open = false
+	delete(g.requests, r.id)
 }
 
 // kill ends the process at once, as a crash does.
@@ -122,30 +122,30 @@
 	w := g.world
 	now, incarnation := w.scheduler.Now(), g.incarnation
 	g.draining = true
-	g.answerBy = now + drainDelay + min(w.longestDeadline(), killNotBefore)
+	g.answerBy = now + drainDelay + min(w.longestDeadline(), maxDrainDuration)
 	g.decider.BeginShutdown(now, g.answerBy)
-	for _, c := range g.openCalls() {
-		c.deadline = min(c.deadline, g.answerBy)
-		for _, a := range c.inFlight {
-			w.scheduler.After(c.deadline-now, func() { a.giveUp(policy.StatusTimedOut) })
+	for _, r := range g.openRequests() {
+		r.deadline = min(r.deadline, g.answerBy)
+		for _, a := range r.inFlight {
+			w.scheduler.After(r.deadline-now, func() { a.giveUp(policy.StatusTimedOut) })
 		}
 	}
 	w.scheduler.After(frontDrainDelay, func() {
 		if g.incarnation == incarnation {
-			g.admitted = false
+			g.inRotation = false
 		}
 	})
-	w.scheduler.After(drainDelay, func() { g.exitWhenDone(incarnation) })
+	w.scheduler.After(drainDelay, func() { g.exitWhenDrained(incarnation) })
 }
 
-// exitWhenDone ends a process that drains once all of its requests are answered, or when it may be killed.
-func (g *gateway) exitWhenDone(incarnation int) {
+// exitWhenDrained ends a process that drains once all of its requests are answered, or when it may be killed.
+func (g *gateway) exitWhenDrained(incarnation int) {
 	if g.incarnation != incarnation || !g.running {
 		return
 	}
 	w := g.world
-	if len(g.calls) > 0 && w.scheduler.Now() < g.answerBy+exitMargin {
-		w.scheduler.After(drainPollInterval, func() { g.exitWhenDone(incarnation) })
+	if len(g.requests) > 0 && w.scheduler.Now() < g.answerBy+exitMargin {
+		w.scheduler.After(drainPollInterval, func() { g.exitWhenDrained(incarnation) })
 		return
 	}
 	list := g.cachedList()
@@ -159,10 +159,10 @@
 	g.running = false
 	w.observe(emulator.GatewayStopped{Gateway: g.number, Killed: killed})
 	g.cancelWatch()
-	for _, c := range g.openCalls() {
-		g.closeCall(c)
-		w.scheduler.After(w.network.Delay(), func() { c.answerClient(emulator.AnswerMissing, 0) })
-		for _, a := range c.inFlight {
+	for _, r := range g.openRequests() {
+		g.closeRequest(r)
+		w.scheduler.After(w.network.Delay(), func() { r.answerClient(emulator.AnswerMissing, 0) })
+		for _, a := range r.inFlight {
 			if !a.ended {
 				a.abandon(policy.StatusCancelled)
 			}
@@ -170,7 +170,7 @@
 	}
 	for _, e := range w.endpoints {
 		for _, a := range slices.Clone(e.active) { // attempts whose clients have gone
-			if a.call.gateway == g && !a.ended {
+			if a.request.gateway == g && !a.ended {
 				a.abandon(policy.StatusCancelled)
 			}
 		}
@@ -181,16 +181,16 @@
 	incarnation := g.incarnation
 	w.scheduler.After(w.scenario.Network.FrontDelay.Of(), func() {
 		if g.incarnation == incarnation && !g.running {
-			g.admitted = false
+			g.inRotation = false
 		}
 	})
 }
 
-// openCalls returns the open requests in the order in which they came.
-func (g *gateway) openCalls() []*call {
-	open := make([]*call, 0, len(g.calls))
-	for _, id := range slices.Sorted(maps.Keys(g.calls)) {
-		open = append(open, g.calls[id])
+// openRequests returns the open requests in the order in which they came.
+func (g *gateway) openRequests() []*request {
+	open := make([]*request, 0, len(g.requests))
+	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
+		open = append(open, g.requests[id])
 	}
 	return open
 }
@@ -204,48 +204,48 @@
 // Forward implements policy.Actions.
 func (x actions) Forward(id policy.RequestID, endpoint policy.EndpointID, until time.Duration) {
 	g := x.g
-	c := g.calls[id]
-	if c == nil {
+	r := g.requests[id]
+	if r == nil {
 		return
 	}
-	if until <= 0 || until > c.deadline {
-		until = c.deadline
+	if until <= 0 || until > r.deadline {
+		until = r.deadline
 	}
 	now := g.world.scheduler.Now()
 	a := &attempt{
-		call:        c,
+		request:     r,
 		endpoint:    g.world.endpoint(endpoint),
-		number:      c.attempts,
+		number:      r.attempts,
 		forwardedAt: now,
 		activeIndex: notActive,
 	}
-	c.attempts++
-	c.inFlight = append(c.inFlight, a)
+	r.attempts++
+	r.inFlight = append(r.inFlight, a)
 	g.world.scheduler.After(until-now, func() { a.giveUp(policy.StatusTimedOut) })
-	a.begin()
+	a.start()
 }
 
 // Reject implements policy.Actions.
 func (x actions) Reject(id policy.RequestID, retryAfter time.Duration) {
-	if c := x.g.calls[id]; c != nil {
-		c.answer(emulator.AnswerRejected, retryAfter)
+	if r := x.g.requests[id]; r != nil {
+		r.answer(emulator.AnswerRejected, retryAfter)
 	}
 }
 
 // Fail implements policy.Actions.
 func (x actions) Fail(id policy.RequestID) {
-	if c := x.g.calls[id]; c != nil {
-		c.answer(emulator.AnswerFailed, 0)
+	if r := x.g.requests[id]; r != nil {
+		r.answer(emulator.AnswerFailed, 0)
 	}
 }
 
 // CancelAttempt implements policy.Actions.
 func (x actions) CancelAttempt(id policy.RequestID, number int) {
-	c := x.g.calls[id]
-	if c == nil {
+	r := x.g.requests[id]
+	if r == nil {
 		return
 	}
-	for _, a := range c.inFlight {
+	for _, a := range r.inFlight {
 		if a.number == number {
 			x.g.world.scheduler.After(0, func() { a.giveUp(policy.StatusCancelled) })
 		}
--- a/internal/emulator/virtual/run.go
+++ b/internal/emulator/virtual/run.go
@@ -14,11 +14,11 @@
 	// StartTime is when the load of every run begins, as Unix time.
 	StartTime = 1_750_000_000 * time.Second
 
-	// interruptInterval is how often, in virtual time, a run looks whether its context has ended.
-	interruptInterval = 50 * time.Millisecond
+	// contextCheckInterval is how often, in virtual time, a run looks whether its context has ended.
+	contextCheckInterval = 50 * time.Millisecond
 
-	// settleTime is how long after the last deadline a run goes on, so that late answers are seen.
-	settleTime = 2 * time.Second
+	// lateAnswerPeriod is how long after the last deadline a run goes on, so that late answers are seen.
+	lateAnswerPeriod = 2 * time.Second
 )
 
 // Options describe a run.
@@ -48,7 +48,7 @@
 	if options.NewDecider == nil {
 		options.NewDecider = PolicyDecider
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	w := newWorld(&options)
 	w.start()
 	err := w.play(ctx)
@@ -58,24 +58,24 @@
 		Attempts:    w.attempts,
 		Connections: w.connections,
 		VirtualTime: w.scheduler.Now() - StartTime,
-		WallTime:    time.Since(begun),
+		WallTime:    time.Since(startedAt),
 	}, err
 }
 
 // play runs the scheduler until no request is open after the end of the load, and no later than all must be answered.
 func (w *world) play(ctx context.Context) error {
 	loadEnd := StartTime + w.scenario.Length.Of()
-	latest := loadEnd + settleTime
+	latestEnd := loadEnd + lateAnswerPeriod
 	for i := range w.scenario.Classes {
-		latest = max(latest, loadEnd+w.scenario.Classes[i].Deadline.Of()+settleTime)
+		latestEnd = max(latestEnd, loadEnd+w.scenario.Classes[i].Deadline.Of()+lateAnswerPeriod)
 	}
-	for now := StartTime; now < latest; {
+	for now := StartTime; now < latestEnd; {
 		if err := ctx.Err(); err != nil {
 			return errors.Join(err, context.Cause(ctx))
 		}
-		now = min(latest, now+interruptInterval)
+		now = min(latestEnd, now+contextCheckInterval)
 		w.scheduler.RunUntil(now)
-		if now >= loadEnd && w.unsettled == 0 {
+		if now >= loadEnd && w.pendingRequests == 0 {
 			return nil
 		}
 	}
--- a/internal/emulator/virtual/run_test.go
+++ b/internal/emulator/virtual/run_test.go
@@ -57,7 +57,7 @@
 }
 
 // Every kind of observation is made, and the policy keeps the rules.
-func TestRulesUnderFaults(t *testing.T) {
+func TestPolicyKeepsRulesUnderFaults(t *testing.T) {
 	scenario := faultyScenario()
 	for seed := range uint64(3) {
 		checker, counter := invariant.NewChecker(&scenario), typeCounter{}
@@ -78,13 +78,13 @@
 	scenario.Clients.Abandon = 0.05
 	summary := runOnce(t, scenario, 1, counter)
 	submitted := counter["RequestSubmitted"]
-	over := counter["RequestAnswered"] + counter["ClientDisconnected"]
-	if submitted == 0 || submitted != over || int64(submitted) != summary.Requests {
-		t.Errorf("%d requests, %d of them over: %+v %v", submitted, over, summary, counter)
+	finished := counter["RequestAnswered"] + counter["ClientDisconnected"]
+	if submitted == 0 || submitted != finished || int64(submitted) != summary.Requests {
+		t.Errorf("%d requests, %d of them over: %+v %v", submitted, finished, summary, counter)
 	}
 }
 
-func TestRunEndsWithItsContext(t *testing.T) {
+func TestRunStopsWhenContextIsCancelled(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := Run(ctx, Options{Scenario: model.DefaultScenario()}); !errors.Is(err, context.Canceled) {
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestInvalidScenarioIsRefused(t *testing.T) {
+func TestInvalidScenarioIsRejected(t *testing.T) {
 	var problem *model.ScenarioError
 	if _, err := Run(t.Context(), Options{}); !errors.As(err, &problem) {
 		t.Errorf("got %v, want a *model.ScenarioError", err)
--- a/internal/emulator/virtual/truth.go
+++ b/internal/emulator/virtual/truth.go
@@ -37,8 +37,8 @@
 type quotaHistory struct{ samples []quotaSample }
 
 type quotaSample struct {
-	at   time.Duration
-	left float64
+	recordedAt time.Duration
+	unitsLeft  float64
 }
 
 func newTruth(w *world) *truth {
@@ -54,18 +54,18 @@
 		return 0
 	}
 	if age > 0 {
-		t.record()
+		t.startRecording()
 	}
 	history := &t.backlogs[id-1]
-	back := min(int(age/backlogInterval), backlogSamples-1, history.count-1)
-	if age <= 0 || back < 0 {
+	samplesBack := min(int(age/backlogInterval), backlogSamples-1, history.count-1)
+	if age <= 0 || samplesBack < 0 {
 		return e.server.Backlog()
 	}
-	return history.samples[(history.count-1-back)%backlogSamples]
+	return history.samples[(history.count-1-samplesBack)%backlogSamples]
 }
 
-// record begins to record, if that has not begun.
-func (t *truth) record() {
+// startRecording begins to record, if that has not begun.
+func (t *truth) startRecording() {
 	if t.recording {
 		return
 	}
@@ -88,19 +88,19 @@
 	if age <= 0 {
 		return t.world.ledger.Left(now, customer, plan)
 	}
-	t.record()
-	terms := &t.world.scenario.Plans[plan]
+	t.startRecording()
+	planSpec := &t.world.scenario.Plans[plan]
 	history := t.quotas[customer]
 	if history == nil {
-		return terms.Burst
+		return planSpec.Burst
 	}
 	asOf := now - age
 	for i := len(history.samples) - 1; i >= 0; i-- {
-		if sample := history.samples[i]; sample.at <= asOf {
-			return min(terms.Burst, sample.left+terms.Rate*(asOf-sample.at).Seconds())
+		if sample := history.samples[i]; sample.recordedAt <= asOf {
+			return min(planSpec.Burst, sample.unitsLeft+planSpec.Rate*(asOf-sample.recordedAt).Seconds())
 		}
 	}
-	return terms.Burst
+	return planSpec.Burst
 }
 
 // recordQuota records what a customer has left after a use.
@@ -115,14 +115,14 @@
 		t.quotas[customer] = history
 	}
 	history.discardBefore(now - historyLength)
-	left := t.world.ledger.Left(now, customer, plan)
-	history.samples = append(history.samples, quotaSample{at: now, left: left})
+	unitsLeft := t.world.ledger.Left(now, customer, plan)
+	history.samples = append(history.samples, quotaSample{recordedAt: now, unitsLeft: unitsLeft})
 }
 
 // discardBefore drops the samples that no answer needs: all but the last one before the given time.
 func (h *quotaHistory) discardBefore(oldest time.Duration) {
 	keepFrom := 0
-	for keepFrom+1 < len(h.samples) && h.samples[keepFrom+1].at <= oldest {
+	for keepFrom+1 < len(h.samples) && h.samples[keepFrom+1].recordedAt <= oldest {
 		keepFrom++
 	}
 	h.samples = append(h.samples[:0], h.samples[keepFrom:]...)
--- a/internal/emulator/virtual/watch.go
+++ b/internal/emulator/virtual/watch.go
@@ -9,11 +9,11 @@
 
 // How a gateway watches discovery, as internal/discovery does.
 const (
-	// watchSilenceLimit is after how long without a line a gateway gives a watch up.
-	watchSilenceLimit = 3500 * time.Millisecond
+	// watchTimeout is after how long without a line a gateway gives a watch up.
+	watchTimeout = 3500 * time.Millisecond
 
-	// watchPause bounds the random pause before a watch is opened again.
-	watchPause = time.Second
+	// maxReopenPause bounds the random pause before a watch is opened again.
+	maxReopenPause = time.Second
 )
 
 // openWatch opens the gateway's watch in the place of the present one.
@@ -21,13 +21,13 @@
 	if g.cancelWatch != nil {
 		g.cancelWatch()
 	}
-	g.cancelWatch = g.world.discovery.Watch(g.number, g.deliver)
+	g.cancelWatch = g.world.discovery.Watch(g.number, g.handleUpdate)
 }
 
 // reopenWatch opens a new watch after a delay and a random pause.
 func (g *gateway) reopenWatch(delay time.Duration) {
 	w, incarnation := g.world, g.incarnation
-	pause := time.Duration(w.gatewayRandom.Float64() * float64(watchPause))
+	pause := time.Duration(w.gatewayRandom.Float64() * float64(maxReopenPause))
 	w.scheduler.After(delay+pause, func() {
 		if g.running && g.incarnation == incarnation {
 			g.openWatch()
@@ -35,8 +35,8 @@
 	})
 }
 
-// deliver takes what discovery brings. A call that has failed is repeated after a pause.
-func (g *gateway) deliver(kind policy.UpdateKind, _ uint64, list []policy.Endpoint) {
+// handleUpdate takes what discovery brings. A call that has failed is repeated after a pause.
+func (g *gateway) handleUpdate(kind policy.UpdateKind, _ uint64, list []policy.Endpoint) {
 	if !g.running {
 		return
 	}
@@ -78,13 +78,13 @@
 
 // removeAbsent takes the endpoints that a complete list does not name for removed.
 func (g *gateway) removeAbsent(list []policy.Endpoint) {
-	named := make([]bool, len(g.world.endpoints)+1)
+	listed := make([]bool, len(g.world.endpoints)+1)
 	for i := range list {
-		named[list[i].ID] = true
+		listed[list[i].ID] = true
 	}
 	for i := range g.views {
 		id := policy.EndpointID(i + 1)
-		if view := &g.views[i]; view.known && !named[id] && view.state != policy.StateRemoved {
+		if view := &g.views[i]; view.known && !listed[id] && view.state != policy.StateRemoved {
 			g.applyEntry(&policy.Endpoint{ID: id, State: policy.StateRemoved, StartedAt: view.startedAt})
 		}
 	}
@@ -101,7 +101,7 @@
 }
 
 func (g *gateway) observeNotified(view *endpointView, entry *policy.Endpoint) {
-	view.notified = max(view.notified, entry.StartedAt)
+	view.notifiedStart = max(view.notifiedStart, entry.StartedAt)
 	g.world.observe(emulator.EndpointNotified{
 		Gateway:  g.number,
 		Endpoint: entry.ID,
--- a/internal/emulator/virtual/world.go
+++ b/internal/emulator/virtual/world.go
@@ -30,31 +30,31 @@
 	gatewayRandom *rand.Rand
 	attemptRandom *rand.Rand
 
-	zoneCuts    []int // by zone: partitions that cut it off from the others now
-	resetShare  float64
-	spoiltShare float64
+	partitionsByZone []int // by zone: partitions that cut it off from the others now
+	resetShare       float64
+	spoiltShare      float64
 
-	unsettled   int // requests that the client has sent or will send, and that are not answered yet
-	requests    int64
-	attempts    int64
-	connections int64
+	pendingRequests int // requests that the client has sent or will send, and that are not answered yet
+	requests        int64
+	attempts        int64
+	connections     int64
 }
 
 func newWorld(options *Options) *world {
 	scenario := &options.Scenario
 	w := &world{
-		scenario:      scenario,
-		seed:          options.Seed,
-		newDecider:    options.NewDecider,
-		observer:      options.Observer,
-		scheduler:     emulator.NewVirtualScheduler(StartTime),
-		network:       model.NewNetwork(scenario.Network, model.StreamNetwork.Random(options.Seed)),
-		meter:         model.NewMeter(scenario.Meter, model.StreamMeter.Random(options.Seed)),
-		ledger:        model.NewLedger(scenario.Plans),
-		serverRandom:  model.StreamServers.Random(options.Seed),
-		gatewayRandom: model.StreamGateways.Random(options.Seed),
-		attemptRandom: model.StreamAttempts.Random(options.Seed),
-		zoneCuts:      make([]int, model.Zones(scenario)),
+		scenario:         scenario,
+		seed:             options.Seed,
+		newDecider:       options.NewDecider,
+		observer:         options.Observer,
+		scheduler:        emulator.NewVirtualScheduler(StartTime),
+		network:          model.NewNetwork(scenario.Network, model.StreamNetwork.Random(options.Seed)),
+		meter:            model.NewMeter(scenario.Meter, model.StreamMeter.Random(options.Seed)),
+		ledger:           model.NewLedger(scenario.Plans),
+		serverRandom:     model.StreamServers.Random(options.Seed),
+		gatewayRandom:    model.StreamGateways.Random(options.Seed),
+		attemptRandom:    model.StreamAttempts.Random(options.Seed),
+		partitionsByZone: make([]int, model.Zones(scenario)),
 	}
 	if w.observer == nil {
 		w.observer = emulator.Observers{}
@@ -89,7 +89,7 @@
 	if !ok {
 		return
 	}
-	w.unsettled++
+	w.pendingRequests++
 	w.scheduler.After(arrival.At-w.scheduler.Now(), func() {
 		w.submit(arrival)
 		w.scheduleNextArrival()
@@ -102,10 +102,10 @@
 
 // reachable reports whether packets between a gateway and an endpoint arrive.
 func (w *world) reachable(g *gateway, e *endpoint) bool {
-	if e.cuts > 0 {
+	if e.partitions > 0 {
 		return false
 	}
-	return g.zone == e.zone || w.zoneCuts[g.zone] == 0 && w.zoneCuts[e.zone] == 0
+	return g.zone == e.zone || w.partitionsByZone[g.zone] == 0 && w.partitionsByZone[e.zone] == 0
 }
 
 // longestDeadline is that of all classes.
--- a/internal/emulator/virtual/world_test.go
+++ b/internal/emulator/virtual/world_test.go
@@ -11,20 +11,20 @@
 	"springfield/policy"
 )
 
-// firstEndpoint is a decider that forwards each request to endpoint 1, once, and keeps what it is told.
-type firstEndpoint struct {
+// firstEndpointDecider is a decider that forwards each request to endpoint 1, once, and keeps what it is told.
+type firstEndpointDecider struct {
 	emulator.Decider // of the policy, for what is not decided here
 	actions          policy.Actions
 	results          []policy.AttemptResult
 }
 
 // Submit implements emulator.Decider.
-func (d *firstEndpoint) Submit(_ time.Duration, request policy.Request) {
+func (d *firstEndpointDecider) Submit(_ time.Duration, request policy.Request) {
 	d.actions.Forward(request.ID, 1, 0)
 }
 
 // AttemptFinished implements emulator.Decider.
-func (d *firstEndpoint) AttemptFinished(_ time.Duration, result policy.AttemptResult) {
+func (d *firstEndpointDecider) AttemptFinished(_ time.Duration, result policy.AttemptResult) {
 	d.results = append(d.results, result)
 	if !result.RequestDone {
 		d.actions.Fail(result.Request)
@@ -32,12 +32,12 @@
 }
 
 // ClientDisconnected implements emulator.Decider.
-func (d *firstEndpoint) ClientDisconnected(time.Duration, policy.RequestID) {}
+func (d *firstEndpointDecider) ClientDisconnected(time.Duration, policy.RequestID) {}
 
 // testWorld is a world without clients of its own, whose gateway 0 is watched.
 type testWorld struct {
 	*world
-	decider      *firstEndpoint // of gateway 0
+	decider      *firstEndpointDecider // of gateway 0
 	observations []emulator.Observation
 	requests     int
 }
@@ -48,16 +48,16 @@
 }
 
 // newTestWorld starts a world. Without a decider all gateways forward to endpoint 1.
-func newTestWorld(newDecider emulator.NewDecider, change func(*emulator.Scenario)) *testWorld {
+func newTestWorld(newDecider emulator.NewDecider, configure func(*emulator.Scenario)) *testWorld {
 	w := &testWorld{}
 	scenario := model.DefaultScenario()
 	scenario.Network.Jitter, scenario.Clients.Retries = 0, 0
-	if change != nil {
-		change(&scenario)
+	if configure != nil {
+		configure(&scenario)
 	}
 	if newDecider == nil {
 		newDecider = func(cfg policy.Config, actions policy.Actions, truth emulator.Truth) emulator.Decider {
-			decider := &firstEndpoint{Decider: PolicyDecider(cfg, actions, truth), actions: actions}
+			decider := &firstEndpointDecider{Decider: PolicyDecider(cfg, actions, truth), actions: actions}
 			if cfg.GatewayIndex == 0 {
 				w.decider = decider
 			}
@@ -73,16 +73,16 @@
 }
 
 // submitAt has a client send a request of 100 ms of work at gateway 0, a time after the start.
-func (w *testWorld) submitAt(after time.Duration, change func(*model.Arrival)) {
+func (w *testWorld) submitAt(after time.Duration, modify func(*model.Arrival)) {
 	w.requests++
 	arrival := model.Arrival{
 		Request: emulator.RequestKey(w.requests), Original: emulator.RequestKey(w.requests), Customer: 1, SetSize: 1,
 		Units: 1, TrueUnits: 1, Work: 100 * time.Millisecond, Deadline: StartTime + after + 4*time.Second,
 	}
-	if change != nil {
-		change(&arrival)
+	if modify != nil {
+		modify(&arrival)
 	}
-	w.unsettled++
+	w.pendingRequests++
 	w.scheduler.After(after, func() { w.receiveRequest(arrival) })
 }
 
@@ -143,7 +143,7 @@
 	}
 }
 
-func TestDialOfACutOffEndpointTimesOut(t *testing.T) {
+func TestDialOfPartitionedEndpointTimesOut(t *testing.T) {
 	w := newTestWorld(nil, nil)
 	faultTarget{w.world}.CutEndpoint(1, true)
 	w.submitAt(0, nil)
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestFullConnectionTableRefuses(t *testing.T) {
+func TestFullConnectionTableRefusesConnections(t *testing.T) {
 	w := newTestWorld(nil, func(s *emulator.Scenario) { s.Endpoints.MaxConnections = 1 })
 	w.submitAt(0, nil)
 	w.submitAt(0, nil)
@@ -214,7 +214,7 @@
 	}
 }
 
-func TestStopOfAnEndpointResetsItsConnections(t *testing.T) {
+func TestStoppedEndpointResetsItsConnections(t *testing.T) {
 	w := newTestWorld(nil, nil)
 	w.submitAt(0, nil)
 	w.after(50 * time.Millisecond)
@@ -225,7 +225,7 @@
 	}
 }
 
-func TestSpoiltAnswerIsNoAnswer(t *testing.T) {
+func TestSpoiltAnswerCountsAsReset(t *testing.T) {
 	w := newTestWorld(nil, nil)
 	faultTarget{w.world}.SpoilAnswers(1)
 	w.submitAt(0, nil)
@@ -255,7 +255,7 @@
 	}
 }
 
-func TestRestartAnswersWhatIsOpenAndBringsAFreshProcess(t *testing.T) {
+func TestGatewayRestartFailsOpenRequestsAndStartsNewProcess(t *testing.T) {
 	w := newTestWorld(PolicyDecider, func(s *emulator.Scenario) { s.Endpoints.Count = 1 })
 	faultTarget{w.world}.SilenceEndpoint(1, true)
 	w.submitAt(0, func(arrival *model.Arrival) {
@@ -272,12 +272,12 @@
 	if len(stopped) != 1 || stopped[0].Killed || len(started) != len(w.gateways)+1 {
 		t.Errorf("%+v %+v", stopped, started)
 	}
-	if g := w.gateways[0]; !g.running || !g.admitted || g.draining {
+	if g := w.gateways[0]; !g.running || !g.inRotation || g.draining {
 		t.Errorf("the gateway has not come back: %+v", g)
 	}
 }
 
-func TestOracleSeesTheStateAsItWas(t *testing.T) {
+func TestTruthReportsStateOfGivenAge(t *testing.T) {
 	w := newTestWorld(nil, nil)
 	w.truth.Backlog(1, time.Second) // begins to record
 	for range 20 {
@@ -300,22 +300,22 @@
 	}
 }
 
-// doubleForward is a planted fault: each attempt is made twice.
-type doubleForward struct{ policy.Actions }
+// duplicatingActions is a planted fault: each attempt is made twice.
+type duplicatingActions struct{ policy.Actions }
 
-func (d doubleForward) Forward(id policy.RequestID, endpoint policy.EndpointID, until time.Duration) {
+func (d duplicatingActions) Forward(id policy.RequestID, endpoint policy.EndpointID, until time.Duration) {
 	d.Actions.Forward(id, endpoint, until)
 	d.Actions.Forward(id, endpoint, until)
 }
 
-func TestPlantedFaultIsSeenByTheChecker(t *testing.T) {
+func TestCheckerDetectsDuplicatedAttempts(t *testing.T) {
 	scenario := model.DefaultScenario()
 	checker := invariant.NewChecker(&scenario)
 	summary, err := Run(t.Context(), Options{
 		Scenario: scenario,
 		Observer: checker,
 		NewDecider: func(cfg policy.Config, actions policy.Actions, truth emulator.Truth) emulator.Decider {
-			return PolicyDecider(cfg, doubleForward{actions}, truth)
+			return PolicyDecider(cfg, duplicatingActions{actions}, truth)
 		},
 	})
 	if err != nil {
