--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,5 +1,5 @@
 // Package baseline holds simple deciders that the policy is compared with, behind the same interface. They share how
-// they keep the rules on repeats, drains, slow start and final answers (gateway.go), and differ in whom they admit and
+// they keep the rules on repeats, drains, slow start and final answers (decider.go), and differ in whom they admit and
 // which endpoint they choose.
 package baseline
 
@@ -14,13 +14,13 @@
 // lateOracleAge is how old the true state is that the late oracle sees.
 const lateOracleAge = time.Second
 
-// named is a decider with the name that experiment files use.
-type named struct {
+// namedDecider is a decider with the name that experiment files use.
+type namedDecider struct {
 	name       string
 	newDecider emulator.NewDecider
 }
 
-var all = []named{
+var baselines = []namedDecider{
 	{"admit-all", AdmitAll},
 	{"even-split", EvenSplit},
 	{"late-oracle", LateOracle},
@@ -29,8 +29,8 @@
 
 // Names returns the names of all baselines.
 func Names() []string {
-	names := make([]string, len(all))
-	for i, baseline := range all {
+	names := make([]string, len(baselines))
+	for i, baseline := range baselines {
 		names[i] = baseline.name
 	}
 	return names
@@ -38,16 +38,16 @@
 
 // ByName returns the baseline of that name.
 func ByName(name string) (emulator.NewDecider, bool) {
-	i := slices.IndexFunc(all, func(baseline named) bool { return baseline.name == name })
+	i := slices.IndexFunc(baselines, func(baseline namedDecider) bool { return baseline.name == name })
 	if i < 0 {
 		return nil, false
 	}
-	return all[i].newDecider, true
+	return baselines[i].newDecider, true
 }
 
 // AdmitAll admits every request and picks an endpoint at random.
 func AdmitAll(cfg policy.Config, actions policy.Actions, _ emulator.Truth) emulator.Decider {
-	g := newGateway(cfg, actions)
+	g := newBaseDecider(cfg, actions)
 	g.admit = func(time.Duration, *request) bool { return true }
 	g.choose = func(_ *request, candidates []*endpoint) *endpoint {
 		return candidates[g.random.IntN(len(candidates))]
@@ -58,7 +58,7 @@
 // EvenSplit grants each gateway an even part of a customer's quota, by a token bucket, and picks the less loaded of two
 // endpoints at random.
 func EvenSplit(cfg policy.Config, actions policy.Actions, _ emulator.Truth) emulator.Decider {
-	g := newGateway(cfg, actions)
+	g := newBaseDecider(cfg, actions)
 	split := newEvenSplit(&g.cfg)
 	g.admit = split.admit
 	g.choose = g.lessLoadedOfTwo
@@ -77,7 +77,7 @@
 }
 
 func newOracle(cfg policy.Config, actions policy.Actions, truth emulator.Truth, age time.Duration) emulator.Decider {
-	g := newGateway(cfg, actions)
+	g := newBaseDecider(cfg, actions)
 	g.admit = func(_ time.Duration, r *request) bool {
 		if r.Plan < 0 || r.Plan >= len(g.cfg.Plans) || g.cfg.Plans[r.Plan].QuotaRate <= 0 {
 			return true
--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestAdmitAllReachesAllEndpoints(t *testing.T) {
-	gateway := start(AdmitAll, testConfig(), 4)
+	gateway := startGateway(AdmitAll, testConfig(), 4)
 	counts := map[policy.EndpointID]int{}
 	for id := policy.RequestID(1); id <= 400; id++ {
 		gateway.submit(id, idempotentClass, quotaPlan, 4)
@@ -25,8 +25,8 @@
 }
 
 // Two gateways carry the customer: each grants half of its burst of 20 units and half of its rate of 10 a second.
-func TestEvenSplitGrantsItsPart(t *testing.T) {
-	gateway := start(EvenSplit, testConfig(), 4)
+func TestEvenSplitGrantsOneGatewaysPartOfTheQuota(t *testing.T) {
+	gateway := startGateway(EvenSplit, testConfig(), 4)
 	for id := policy.RequestID(1); id <= 12; id++ {
 		gateway.submit(id, idempotentClass, quotaPlan, 1)
 	}
@@ -42,15 +42,15 @@
 	}
 	gateway.expect(t, "an hour later", 25, 5, 0)
 	for id := policy.RequestID(31); id <= 40; id++ {
-		gateway.submit(id, idempotentClass, softPlan, 1)
+		gateway.submit(id, idempotentClass, overQuotaPlan, 1)
 		gateway.submit(id+100, idempotentClass, unlimitedPlan, 100)
 	}
 	gateway.expect(t, "for other customers", 45, 5, 0)
 }
 
 // A customer of many gateways can send its largest request at one of them now and then.
-func TestEvenSplitHoldsTheLargestRequest(t *testing.T) {
-	gateway := start(EvenSplit, testConfig(), 4)
+func TestEvenSplitBucketHoldsTheLargestRequest(t *testing.T) {
+	gateway := startGateway(EvenSplit, testConfig(), 4)
 	submit := func(id policy.RequestID) {
 		gateway.decider.Submit(gateway.now, policy.Request{ID: id, Plan: quotaPlan, TimeLeft: time.Second, Units: 4,
 			SetSize: 100})
@@ -74,7 +74,7 @@
 		{[2]float64{0.5, 0.25}, [2]int{80, 40}},
 		{[2]float64{0, 1}, [2]int{60, 60}},
 	} {
-		gateway := start(EvenSplit, testConfig(), 0)
+		gateway := startGateway(EvenSplit, testConfig(), 0)
 		first, second := readyEndpoint(1), readyEndpoint(2)
 		first.Weight, second.Weight = test.weights[0], test.weights[1]
 		gateway.decider.UpdateEndpoints(gateway.now, policy.UpdateFull, []policy.Endpoint{first, second})
@@ -82,7 +82,7 @@
 			gateway.submit(id, idempotentClass, unlimitedPlan, 1)
 		}
 		for i, want := range test.want {
-			got := gateway.internals().endpoints[policy.EndpointID(i+1)].inFlight
+			got := gateway.base().endpoints[policy.EndpointID(i+1)].inFlight
 			if got < want-6 || got > want+6 {
 				t.Errorf("weights %v: %d in flight at endpoint %d, want about %d", test.weights, got, i+1, want)
 			}
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestOraclesGoByTheTruth(t *testing.T) {
+func TestOraclesAdmitByTheTrueQuota(t *testing.T) {
 	for name, oracle := range map[string]struct {
 		newDecider emulator.NewDecider
 		age        time.Duration
@@ -98,13 +98,13 @@
 		"late":    {LateOracle, time.Second},
 		"instant": {InstantOracle, 0},
 	} {
-		gateway := start(oracle.newDecider, testConfig(), 3)
+		gateway := startGateway(oracle.newDecider, testConfig(), 3)
 		gateway.submit(1, idempotentClass, quotaPlan, 1)
 		gateway.truth.quotaLeft = 1.5
 		gateway.submit(2, idempotentClass, quotaPlan, 2)
 		gateway.expect(t, name+" with too little quota", 1, 1, 0)
 		gateway.submit(3, idempotentClass, quotaPlan, 1)
-		gateway.submit(4, idempotentClass, softPlan, 2)
+		gateway.submit(4, idempotentClass, overQuotaPlan, 2)
 		gateway.submit(5, idempotentClass, unlimitedPlan, 2)
 		gateway.expect(t, name+" with enough, or where overuse earns", 4, 1, 0)
 		if want := map[time.Duration]bool{oracle.age: true}; !maps.Equal(gateway.truth.ages, want) {
@@ -123,7 +123,7 @@
 		"late":    {LateOracle, map[policy.EndpointID]int{1: requests / 9, 2: requests * 5 / 9, 3: requests * 3 / 9}},
 		"instant": {InstantOracle, map[policy.EndpointID]int{2: requests}},
 	} {
-		gateway := start(oracle.newDecider, testConfig(), 3)
+		gateway := startGateway(oracle.newDecider, testConfig(), 3)
 		gateway.truth.backlogs = map[policy.EndpointID]time.Duration{1: 3, 2: 1, 3: 2}
 		counts := map[policy.EndpointID]int{}
 		for id := policy.RequestID(1); id <= requests; id++ {
@@ -141,7 +141,7 @@
 
 // Where queues are equally long, the requests of a gateway are spread.
 func TestOracleSpreadsOverEqualQueues(t *testing.T) {
-	gateway := start(InstantOracle, testConfig(), 3)
+	gateway := startGateway(InstantOracle, testConfig(), 3)
 	counts := map[policy.EndpointID]int{}
 	for id := policy.RequestID(1); id <= 9; id++ {
 		gateway.submit(id, idempotentClass, unlimitedPlan, 1)
--- a/internal/baseline/gateway.go
+++ b/internal/baseline/decider.go
@@ -13,8 +13,8 @@
 // maxAttempts bounds the attempts of a request where the deployment does not.
 const maxAttempts = 3
 
-// gateway is what all baselines share: it keeps the rules, and leaves admission and choice to two functions.
-type gateway struct {
+// baseDecider is what all baselines share: it keeps the rules, and leaves admission and choice to two functions.
+type baseDecider struct {
 	cfg       policy.Config
 	actions   policy.Actions
 	random    *rand.Rand
@@ -30,14 +30,14 @@
 
 type request struct {
 	policy.Request
-	class        *policy.Class
-	deadline     time.Duration
-	attempts     int
-	inFlight     *endpoint // nil without an attempt
-	sentAt       time.Duration
-	mayHaveRunOn *endpoint // of the first attempt that may have been executed
-	mayHaveRunAt time.Duration
-	disconnected bool // the client is owed nothing any more; the attempt is still in flight
+	class              *policy.Class
+	deadline           time.Duration
+	attempts           int
+	inFlight           *endpoint // nil without an attempt
+	sentAt             time.Duration
+	possiblyExecutedOn *endpoint // of the first attempt that may have been executed
+	possiblyExecutedAt time.Duration
+	disconnected       bool // the client is owed nothing any more; the attempt is still in flight
 }
 
 type endpoint struct {
@@ -45,38 +45,38 @@
 	inFlight int
 }
 
-func newGateway(cfg policy.Config, actions policy.Actions) *gateway {
-	return &gateway{
+func newBaseDecider(cfg policy.Config, actions policy.Actions) *baseDecider {
+	return &baseDecider{
 		cfg: cfg, actions: actions, random: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.GatewayIndex))),
 		requests: map[policy.RequestID]*request{}, endpoints: map[policy.EndpointID]*endpoint{},
 	}
 }
 
 // Start implements emulator.Decider.
-func (g *gateway) Start(time.Duration) {
+func (g *baseDecider) Start(time.Duration) {
 	if g.cfg.PolledEndpoints {
 		g.actions.WatchEndpoints(true)
 	}
 }
 
 // UpdateEndpoints implements emulator.Decider.
-func (g *gateway) UpdateEndpoints(_ time.Duration, kind policy.UpdateKind, list []policy.Endpoint) {
+func (g *baseDecider) UpdateEndpoints(_ time.Duration, kind policy.UpdateKind, list []policy.Endpoint) {
 	if kind == policy.UpdateFailed {
 		g.actions.StartTimer(time.Second, policy.Timer{Kind: policy.TimerWatch})
 		return
 	}
-	named := make(map[policy.EndpointID]bool, len(list))
-	for _, in := range list {
-		named[in.ID] = true
-		ep := g.endpoints[in.ID]
+	listed := make(map[policy.EndpointID]bool, len(list))
+	for _, entry := range list {
+		listed[entry.ID] = true
+		ep := g.endpoints[entry.ID]
 		if ep == nil {
 			ep = &endpoint{}
-			g.endpoints[in.ID] = ep
+			g.endpoints[entry.ID] = ep
 		}
-		ep.Endpoint = in
+		ep.Endpoint = entry
 	}
 	for id, ep := range g.endpoints {
-		absent := kind != policy.UpdateDelta && !named[id]
+		absent := kind != policy.UpdateDelta && !listed[id]
 		if absent || ep.State == policy.StateRemoved {
 			ep.State = policy.StateRemoved
 			delete(g.endpoints, id)
@@ -86,13 +86,13 @@
 }
 
 // Submit implements emulator.Decider.
-func (g *gateway) Submit(now time.Duration, in policy.Request) {
-	if in.Class < 0 || in.Class >= len(g.cfg.Classes) || in.TimeLeft <= 0 {
-		g.actions.Reject(in.ID, 0)
+func (g *baseDecider) Submit(now time.Duration, submitted policy.Request) {
+	if submitted.Class < 0 || submitted.Class >= len(g.cfg.Classes) || submitted.TimeLeft <= 0 {
+		g.actions.Reject(submitted.ID, 0)
 		return
 	}
-	r := &request{Request: in, class: &g.cfg.Classes[in.Class], deadline: now + in.TimeLeft}
-	g.requests[in.ID] = r
+	r := &request{Request: submitted, class: &g.cfg.Classes[submitted.Class], deadline: now + submitted.TimeLeft}
+	g.requests[submitted.ID] = r
 	tooMany := g.cfg.MaxOpenRequests > 0 && len(g.requests) > g.cfg.MaxOpenRequests
 	if tooMany || !g.admit(now, r) {
 		g.finish(r)
@@ -102,7 +102,7 @@
 }
 
 // dispatch forwards a request, or ends it if no endpoint may take it.
-func (g *gateway) dispatch(now time.Duration, r *request) {
+func (g *baseDecider) dispatch(now time.Duration, r *request) {
 	candidates := g.candidates(now, r)
 	if now >= r.deadline || len(candidates) == 0 {
 		g.finish(r)
@@ -117,21 +117,21 @@
 
 // candidates returns the endpoints that the rules allow. One in slow start is among them with the probability of the
 // share of its capacity that it has.
-func (g *gateway) candidates(now time.Duration, r *request) []*endpoint {
+func (g *baseDecider) candidates(now time.Duration, r *request) []*endpoint {
 	var allowed []*endpoint
 	for _, ep := range g.list {
-		if ep.State != policy.StateReady || !r.mayRunOn(now, ep) {
+		if ep.State != policy.StateReady || !r.mayRetryOn(now, ep) {
 			continue
 		}
-		if warmth := g.warmth(now, ep); warmth >= 1 || g.random.Float64() < warmth {
+		if capacityShare := g.capacityShare(now, ep); capacityShare >= 1 || g.random.Float64() < capacityShare {
 			allowed = append(allowed, ep)
 		}
 	}
 	return allowed
 }
 
-// warmth is the least share of its capacity that an endpoint has.
-func (g *gateway) warmth(now time.Duration, ep *endpoint) float64 {
+// capacityShare is the least share of its capacity that an endpoint has.
+func (g *baseDecider) capacityShare(now time.Duration, ep *endpoint) float64 {
 	age := now - ep.StartedAt
 	if ep.StartedAt <= 0 || g.cfg.WarmUpDuration <= 0 || age >= g.cfg.WarmUpDuration {
 		return 1
@@ -140,26 +140,26 @@
 	return initial + (1-initial)*max(0, age.Seconds())/g.cfg.WarmUpDuration.Seconds()
 }
 
-// mayRunOn keeps the rule on repeats.
-func (r *request) mayRunOn(now time.Duration, ep *endpoint) bool {
-	if r.mayHaveRunOn == nil || r.class.Idempotency == policy.Idempotent {
+// mayRetryOn keeps the rule on repeats.
+func (r *request) mayRetryOn(now time.Duration, ep *endpoint) bool {
+	if r.possiblyExecutedOn == nil || r.class.Idempotency == policy.Idempotent {
 		return true
 	}
-	if r.class.Idempotency == policy.NonIdempotent || now >= r.mayHaveRunAt+r.class.KeyTTL {
+	if r.class.Idempotency == policy.NonIdempotent || now >= r.possiblyExecutedAt+r.class.KeyTTL {
 		return false
 	}
 	switch r.class.KeyScope {
 	case policy.KeyScopeZone:
-		return ep.Zone == r.mayHaveRunOn.Zone
+		return ep.Zone == r.possiblyExecutedOn.Zone
 	case policy.KeyScopeCell:
-		return ep.Cell == r.mayHaveRunOn.Cell
+		return ep.Cell == r.possiblyExecutedOn.Cell
 	default:
 		return true
 	}
 }
 
 // AttemptFinished implements emulator.Decider.
-func (g *gateway) AttemptFinished(now time.Duration, result policy.AttemptResult) {
+func (g *baseDecider) AttemptFinished(now time.Duration, result policy.AttemptResult) {
 	r := g.requests[result.Request]
 	if r == nil || r.inFlight == nil || r.attempts-1 != result.Attempt {
 		return
@@ -169,8 +169,8 @@
 	case policy.StatusOK, policy.StatusRejected, policy.StatusConnectFailed, policy.StatusNotSent,
 		policy.StatusLocalFailure:
 	default:
-		if r.mayHaveRunOn == nil {
-			r.mayHaveRunOn, r.mayHaveRunAt = r.inFlight, r.sentAt
+		if r.possiblyExecutedOn == nil {
+			r.possiblyExecutedOn, r.possiblyExecutedAt = r.inFlight, r.sentAt
 		}
 	}
 	r.inFlight = nil
@@ -186,9 +186,9 @@
 }
 
 // finish gives the final answer: a rejection while the client may safely retry, else a failure.
-func (g *gateway) finish(r *request) {
+func (g *baseDecider) finish(r *request) {
 	delete(g.requests, r.ID)
-	if r.mayHaveRunOn == nil || r.class.Idempotency == policy.Idempotent {
+	if r.possiblyExecutedOn == nil || r.class.Idempotency == policy.Idempotent {
 		g.actions.Reject(r.ID, 0)
 		return
 	}
@@ -197,7 +197,7 @@
 
 // ClientDisconnected implements emulator.Decider. The attempt in flight, which every open request has, is a load on its
 // endpoint until its result comes.
-func (g *gateway) ClientDisconnected(_ time.Duration, id policy.RequestID) {
+func (g *baseDecider) ClientDisconnected(_ time.Duration, id policy.RequestID) {
 	r := g.requests[id]
 	if r == nil || r.disconnected {
 		return
@@ -209,26 +209,26 @@
 }
 
 // BeginShutdown implements emulator.Decider. The world bounds the attempts in flight; later retries end by answerBy.
-func (g *gateway) BeginShutdown(_, answerBy time.Duration) {
+func (g *baseDecider) BeginShutdown(_, answerBy time.Duration) {
 	for _, r := range g.requests {
 		r.deadline = min(r.deadline, answerBy)
 	}
 }
 
 // TimerFired implements emulator.Decider.
-func (g *gateway) TimerFired(_ time.Duration, timer policy.Timer) {
+func (g *baseDecider) TimerFired(_ time.Duration, timer policy.Timer) {
 	if timer.Kind == policy.TimerWatch {
 		g.actions.WatchEndpoints(true)
 	}
 }
 
 // lessLoadedOfTwo is the power of two choices: of two random endpoints the one with less in flight for its weight.
-func (g *gateway) lessLoadedOfTwo(_ *request, candidates []*endpoint) *endpoint {
-	two := g.sampleTwo(candidates)
-	if two[1].loadPerWeight() < two[0].loadPerWeight() {
-		return two[1]
+func (g *baseDecider) lessLoadedOfTwo(_ *request, candidates []*endpoint) *endpoint {
+	pair := g.sampleTwo(candidates)
+	if pair[1].loadPerWeight() < pair[0].loadPerWeight() {
+		return pair[1]
 	}
-	return two[0]
+	return pair[0]
 }
 
 // loadPerWeight is what is in flight at an endpoint for its relative capacity, which counts as 1 where it is not known.
@@ -240,6 +240,6 @@
 }
 
 // sampleTwo returns two random endpoints, perhaps the same one twice.
-func (g *gateway) sampleTwo(candidates []*endpoint) []*endpoint {
+func (g *baseDecider) sampleTwo(candidates []*endpoint) []*endpoint {
 	return []*endpoint{candidates[g.random.IntN(len(candidates))], candidates[g.random.IntN(len(candidates))]}
 }
--- a/internal/baseline/gateway_test.go
+++ b/internal/baseline/decider_test.go
@@ -18,7 +18,7 @@
 }
 
 func TestRetryDependsOnIdempotency(t *testing.T) {
-	forEach(t, func(t *testing.T, newDecider emulator.NewDecider) {
+	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
 		for _, test := range []struct {
 			class     int
 			status    policy.Status
@@ -35,7 +35,7 @@
 			{nonIdempotentClass, policy.StatusRejected, 2, 0},
 			{nonIdempotentClass, policy.StatusNotSent, 2, 0},
 		} {
-			gateway := start(newDecider, testConfig(), 4)
+			gateway := startGateway(newDecider, testConfig(), 4)
 			gateway.submit(1, test.class, unlimitedPlan, 1)
 			gateway.finish(1, test.status)
 			gateway.expect(t, "after the first attempt", test.forwarded, 0, test.failed)
@@ -44,15 +44,15 @@
 }
 
 // A request that is deduplicated by its key goes to endpoints only that know the key, and while they do.
-func TestDeduplicatedRequestStaysWithinItsKey(t *testing.T) {
-	forEach(t, func(t *testing.T, newDecider emulator.NewDecider) {
+func TestRetryStaysWithinScopeAndLifetimeOfItsKey(t *testing.T) {
+	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
 		for scope, group := range map[policy.KeyScope]func(id policy.EndpointID) policy.EndpointID{
 			policy.KeyScopeZone: func(id policy.EndpointID) policy.EndpointID { return id % 2 },
 			policy.KeyScopeCell: func(id policy.EndpointID) policy.EndpointID { return id % 3 },
 		} {
 			cfg := testConfig()
 			cfg.Classes[keyedClass].KeyScope = scope
-			gateway := start(newDecider, cfg, 12)
+			gateway := startGateway(newDecider, cfg, 12)
 			for id := policy.RequestID(1); id <= 50; id++ {
 				gateway.submit(id, keyedClass, unlimitedPlan, 1)
 				first := gateway.lastEndpoint()
@@ -65,7 +65,7 @@
 			gateway.expect(t, "with keys", 100, 0, 0)
 		}
 
-		gateway := start(newDecider, testConfig(), 4)
+		gateway := startGateway(newDecider, testConfig(), 4)
 		gateway.submit(1, keyedClass, unlimitedPlan, 1)
 		gateway.now += 600 * time.Millisecond
 		gateway.finish(1, policy.StatusReset)
@@ -75,16 +75,16 @@
 	})
 }
 
-func TestRejectionOnlyIfNothingMayHaveRun(t *testing.T) {
-	forEach(t, func(t *testing.T, newDecider emulator.NewDecider) {
+func TestRejectionOnlyIfClientMaySafelyRetry(t *testing.T) {
+	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
 		for class, wantRejected := range map[int]int{idempotentClass: 1, keyedClass: 0, nonIdempotentClass: 0} {
-			gateway := start(newDecider, testConfig(), 4)
+			gateway := startGateway(newDecider, testConfig(), 4)
 			gateway.submit(1, class, unlimitedPlan, 1)
 			gateway.now += 2 * time.Second
 			gateway.finish(1, policy.StatusTimedOut)
 			gateway.expect(t, "after a time-out", 1, wantRejected, 1-wantRejected)
 		}
-		gateway := start(newDecider, testConfig(), 4)
+		gateway := startGateway(newDecider, testConfig(), 4)
 		gateway.submit(1, nonIdempotentClass, unlimitedPlan, 1)
 		for range 3 {
 			gateway.finish(1, policy.StatusConnectFailed)
@@ -94,8 +94,8 @@
 }
 
 func TestOnlyReadyEndpointsGetRequests(t *testing.T) {
-	forEach(t, func(t *testing.T, newDecider emulator.NewDecider) {
-		gateway := start(newDecider, testConfig(), 4)
+	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
+		gateway := startGateway(newDecider, testConfig(), 4)
 		draining, removed := readyEndpoint(1), readyEndpoint(2)
 		draining.State, removed.State = policy.StateDraining, policy.StateRemoved
 		id := policy.RequestID(0)
@@ -118,7 +118,7 @@
 		}
 		gateway.decider.UpdateEndpoints(gateway.now, policy.UpdateDelta, []policy.Endpoint{draining, removed})
 		expectAll("after a change", 3, 4)
-		if known := len(gateway.internals().endpoints); known != 3 {
+		if known := len(gateway.base().endpoints); known != 3 {
 			t.Errorf("%d endpoints are known after one of four was removed", known)
 		}
 		gateway.decider.UpdateEndpoints(gateway.now, policy.UpdateFailed, nil)
@@ -134,7 +134,7 @@
 
 // An endpoint that warms up gets as much as it has of its capacity.
 func TestWarmingEndpointGetsItsShare(t *testing.T) {
-	gateway := start(AdmitAll, testConfig(), 1)
+	gateway := startGateway(AdmitAll, testConfig(), 1)
 	warming := readyEndpoint(2)
 	warming.StartedAt = gateway.now - 2500*time.Millisecond // has 0.2 + 0.8/4 of its capacity
 	gateway.decider.UpdateEndpoints(gateway.now, policy.UpdateDelta, []policy.Endpoint{warming})
@@ -152,8 +152,8 @@
 }
 
 func TestWarmEndpointsAreAlwaysCandidates(t *testing.T) {
-	forEach(t, func(t *testing.T, newDecider emulator.NewDecider) {
-		gateway := start(newDecider, testConfig(), 1)
+	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
+		gateway := startGateway(newDecider, testConfig(), 1)
 		gateway.submit(1, idempotentClass, unlimitedPlan, 1)
 		restarted := readyEndpoint(1)
 		restarted.StartedAt = gateway.now - testConfig().WarmUpDuration
@@ -166,11 +166,11 @@
 }
 
 func TestAttemptsAndDeadlinesAreBounded(t *testing.T) {
-	forEach(t, func(t *testing.T, newDecider emulator.NewDecider) {
+	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
 		for limit, want := range map[int]int{0: maxAttempts, 1: 1, 2: 2, 9: maxAttempts} {
 			cfg := testConfig()
 			cfg.MaxAttempts = limit
-			gateway := start(newDecider, cfg, 4)
+			gateway := startGateway(newDecider, cfg, 4)
 			gateway.submit(1, idempotentClass, unlimitedPlan, 1)
 			for range 10 {
 				gateway.finish(1, policy.StatusReset)
@@ -180,7 +180,7 @@
 				t.Errorf("given up at %v", until)
 			}
 		}
-		gateway := start(newDecider, testConfig(), 4)
+		gateway := startGateway(newDecider, testConfig(), 4)
 		gateway.submit(1, idempotentClass, unlimitedPlan, 1)
 		gateway.decider.BeginShutdown(gateway.now, gateway.now+time.Second)
 		gateway.now += time.Second
@@ -190,8 +190,8 @@
 }
 
 func TestInvalidRequestIsRejected(t *testing.T) {
-	forEach(t, func(t *testing.T, newDecider emulator.NewDecider) {
-		gateway := start(newDecider, testConfig(), 4)
+	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
+		gateway := startGateway(newDecider, testConfig(), 4)
 		gateway.submit(1, 9, unlimitedPlan, 1)
 		gateway.submit(2, -1, unlimitedPlan, 1)
 		gateway.decider.Submit(gateway.now, policy.Request{ID: 3, Plan: unlimitedPlan, Units: 1})
@@ -203,10 +203,10 @@
 }
 
 func TestOpenRequestsAreBounded(t *testing.T) {
-	forEach(t, func(t *testing.T, newDecider emulator.NewDecider) {
+	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
 		cfg := testConfig()
 		cfg.MaxOpenRequests = 2
-		gateway := start(newDecider, cfg, 4)
+		gateway := startGateway(newDecider, cfg, 4)
 		for id := policy.RequestID(1); id <= 3; id++ {
 			gateway.submit(id, idempotentClass, unlimitedPlan, 1)
 		}
@@ -218,12 +218,12 @@
 }
 
 // What a client that has disconnected has in flight is a load until it ends, and nothing follows it.
-func TestDisconnectedClientGetsNothing(t *testing.T) {
-	forEach(t, func(t *testing.T, newDecider emulator.NewDecider) {
+func TestDisconnectedRequestIsNeitherRetriedNorAnswered(t *testing.T) {
+	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
 		for _, canCancel := range []bool{true, false} {
 			cfg := testConfig()
 			cfg.CanCancel = canCancel
-			gateway := start(newDecider, cfg, 1)
+			gateway := startGateway(newDecider, cfg, 1)
 			gateway.submit(1, idempotentClass, unlimitedPlan, 1)
 			gateway.decider.ClientDisconnected(gateway.now, 1)
 			gateway.decider.ClientDisconnected(gateway.now, 1)
@@ -231,27 +231,27 @@
 			if cancelled := len(gateway.cancelled) == 1; cancelled != canCancel {
 				t.Errorf("cancellation %v: cancelled %v", canCancel, gateway.cancelled)
 			}
-			endpoint := gateway.internals().endpoints[1]
+			endpoint := gateway.base().endpoints[1]
 			if endpoint.inFlight != 1 {
 				t.Errorf("%d in flight before the attempt has ended", endpoint.inFlight)
 			}
 			gateway.finish(1, policy.StatusReset)
 			gateway.finish(1, policy.StatusReset)
 			gateway.expect(t, "disconnected", 1, 0, 0)
-			if endpoint.inFlight != 0 || len(gateway.internals().requests) != 0 {
-				t.Errorf("%d in flight, %d requests", endpoint.inFlight, len(gateway.internals().requests))
+			if endpoint.inFlight != 0 || len(gateway.base().requests) != 0 {
+				t.Errorf("%d in flight, %d requests", endpoint.inFlight, len(gateway.base().requests))
 			}
 		}
 	})
 }
 
-func (r *recorder) internals() *gateway { return r.decider.(*gateway) }
+func (r *fakeGateway) base() *baseDecider { return r.decider.(*baseDecider) }
 
 func TestPolledEndpointsAreWatched(t *testing.T) {
-	forEach(t, func(t *testing.T, newDecider emulator.NewDecider) {
+	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
 		cfg := testConfig()
 		cfg.PolledEndpoints = true
-		gateway := start(newDecider, cfg, 1)
+		gateway := startGateway(newDecider, cfg, 1)
 		gateway.decider.UpdateEndpoints(gateway.now, policy.UpdateFailed, nil)
 		if gateway.watches != 1 || len(gateway.timers) != 1 {
 			t.Fatalf("%d watches, timers %v", gateway.watches, gateway.timers)
--- a/internal/baseline/harness_test.go
+++ b/internal/baseline/harness_test.go
@@ -15,7 +15,7 @@
 	nonIdempotentClass = 2
 
 	quotaPlan     = 0
-	softPlan      = 1 // use over quota earns more than it costs
+	overQuotaPlan = 1 // use over quota earns more than it costs
 	unlimitedPlan = 2
 	unknownPlan   = 9
 )
@@ -63,8 +63,8 @@
 	return f.quotaLeft
 }
 
-// recorder is a gateway around a decider. It records the decisions.
-type recorder struct {
+// fakeGateway is a gateway around a decider. It records the decisions.
+type fakeGateway struct {
 	decider   emulator.Decider
 	truth     *fakeTruth
 	now       time.Duration
@@ -82,9 +82,9 @@
 	until    time.Duration
 }
 
-// start returns a gateway with warm endpoints 1 to count, of zones 0 and 1 in turn.
-func start(newDecider emulator.NewDecider, cfg policy.Config, count int) *recorder {
-	r := &recorder{truth: newFakeTruth(), now: time.Hour}
+// startGateway returns a gateway with warm endpoints 1 to count, of zones 0 and 1 in turn.
+func startGateway(newDecider emulator.NewDecider, cfg policy.Config, count int) *fakeGateway {
+	r := &fakeGateway{truth: newFakeTruth(), now: time.Hour}
 	r.decider = newDecider(cfg, r, r.truth)
 	r.decider.Start(r.now)
 	var list []policy.Endpoint
@@ -99,8 +99,8 @@
 	return policy.Endpoint{ID: policy.EndpointID(id), Weight: 1, State: policy.StateReady, Zone: id % 2, Cell: id % 3}
 }
 
-// forEach runs a test for each baseline.
-func forEach(t *testing.T, test func(t *testing.T, newDecider emulator.NewDecider)) {
+// forEachBaseline runs a test for each baseline.
+func forEachBaseline(t *testing.T, test func(t *testing.T, newDecider emulator.NewDecider)) {
 	t.Helper()
 	for _, name := range Names() {
 		newDecider, ok := ByName(name)
@@ -112,13 +112,13 @@
 }
 
 // submit submits a request that has two seconds left, of a customer that two gateways carry.
-func (r *recorder) submit(id policy.RequestID, class, plan int, units float64) {
+func (r *fakeGateway) submit(id policy.RequestID, class, plan int, units float64) {
 	r.decider.Submit(r.now, policy.Request{ID: id, Class: class, Plan: plan, Customer: policy.CustomerID(plan + 1),
 		TimeLeft: 2 * time.Second, Units: units, SetSize: 2})
 }
 
 // finish ends the latest attempt of a request.
-func (r *recorder) finish(id policy.RequestID, status policy.Status) {
+func (r *fakeGateway) finish(id policy.RequestID, status policy.Status) {
 	result := policy.AttemptResult{Request: id, Attempt: -1, Status: status, RequestDone: status == policy.StatusOK}
 	for _, attempt := range r.forwarded {
 		if attempt.request == id {
@@ -130,7 +130,7 @@
 }
 
 // expect fails the test unless so many attempts, rejections and failures were recorded.
-func (r *recorder) expect(t *testing.T, situation string, forwarded, rejected, failed int) {
+func (r *fakeGateway) expect(t *testing.T, situation string, forwarded, rejected, failed int) {
 	t.Helper()
 	if len(r.forwarded) != forwarded || len(r.rejected) != rejected || len(r.failed) != failed {
 		t.Errorf("%s: %d forwarded, %d rejected, %d failed; want %d, %d and %d", situation, len(r.forwarded),
@@ -138,26 +138,32 @@
 	}
 }
 
-func (r *recorder) lastEndpoint() policy.EndpointID { return r.forwarded[len(r.forwarded)-1].endpoint }
+func (r *fakeGateway) lastEndpoint() policy.EndpointID {
+	return r.forwarded[len(r.forwarded)-1].endpoint
+}
 
 // Forward implements policy.Actions.
-func (r *recorder) Forward(id policy.RequestID, endpoint policy.EndpointID, until time.Duration) {
+func (r *fakeGateway) Forward(id policy.RequestID, endpoint policy.EndpointID, until time.Duration) {
 	r.forwarded = append(r.forwarded, forwardedAttempt{id, endpoint, until})
 }
 
 // Reject implements policy.Actions.
-func (r *recorder) Reject(id policy.RequestID, _ time.Duration) { r.rejected = append(r.rejected, id) }
+func (r *fakeGateway) Reject(id policy.RequestID, _ time.Duration) {
+	r.rejected = append(r.rejected, id)
+}
 
 // Fail implements policy.Actions.
-func (r *recorder) Fail(id policy.RequestID) { r.failed = append(r.failed, id) }
+func (r *fakeGateway) Fail(id policy.RequestID) { r.failed = append(r.failed, id) }
 
 // CancelAttempt implements policy.Actions.
-func (r *recorder) CancelAttempt(id policy.RequestID, _ int) { r.cancelled = append(r.cancelled, id) }
+func (r *fakeGateway) CancelAttempt(id policy.RequestID, _ int) {
+	r.cancelled = append(r.cancelled, id)
+}
 
 // StartTimer implements policy.Actions.
-func (r *recorder) StartTimer(_ time.Duration, timer policy.Timer) {
+func (r *fakeGateway) StartTimer(_ time.Duration, timer policy.Timer) {
 	r.timers = append(r.timers, timer)
 }
 
 // WatchEndpoints implements policy.Actions.
-func (r *recorder) WatchEndpoints(bool) { r.watches++ }
+func (r *fakeGateway) WatchEndpoints(bool) { r.watches++ }
