--- a/internal/measure/endpoints.go
+++ b/internal/measure/endpoints.go
@@ -15,12 +15,12 @@
 }
 
 type endpointLoad struct {
-	figures    EndpointLoad
-	up         bool
-	thisSecond int64 // attempts received in the present second
-	inFlight   int
-	changedAt  time.Duration // when inFlight last changed
-	busy       time.Duration // integral of inFlight over time
+	totals             EndpointLoad
+	up                 bool
+	receivedThisSecond int64 // attempts received in the present second
+	inFlight           int
+	changedAt          time.Duration // when inFlight last changed
+	inFlightIntegral   time.Duration // integral of inFlight over time
 }
 
 func newEndpointLoads(start time.Duration) endpointLoads {
@@ -31,7 +31,7 @@
 	load, known := e.byID[id]
 	if !known {
 		load = &endpointLoad{up: true, changedAt: e.start}
-		load.figures.Endpoint = uint32(id)
+		load.totals.Endpoint = uint32(id)
 		e.byID[id] = load
 	}
 	return load
@@ -40,20 +40,20 @@
 func (e *endpointLoads) started(id policy.EndpointID) {
 	load := e.load(id)
 	load.up = true
-	load.figures.Starts++
+	load.totals.Starts++
 }
 
 func (e *endpointLoads) stopped(id policy.EndpointID) {
 	load := e.load(id)
 	load.up = false
-	load.figures.Stops++
+	load.totals.Stops++
 }
 
 // countAttempt counts an attempt whose end will not be seen.
 func (e *endpointLoads) countAttempt(id policy.EndpointID) *endpointLoad {
 	load := e.load(id)
-	load.figures.Received++
-	load.thisSecond++
+	load.totals.Received++
+	load.receivedThisSecond++
 	return load
 }
 
@@ -66,14 +66,14 @@
 }
 
 func (l *endpointLoad) setInFlight(now time.Duration, change int) {
-	l.integrate(now)
+	l.accumulateInFlight(now)
 	l.inFlight += change
-	l.figures.MaxInFlight = max(l.figures.MaxInFlight, l.inFlight)
+	l.totals.MaxInFlight = max(l.totals.MaxInFlight, l.inFlight)
 }
 
-func (l *endpointLoad) integrate(now time.Duration) {
+func (l *endpointLoad) accumulateInFlight(now time.Duration) {
 	elapsed := max(0, now-l.changedAt)
-	l.busy += time.Duration(l.inFlight) * elapsed
+	l.inFlightIntegral += time.Duration(l.inFlight) * elapsed
 	l.changedAt = max(l.changedAt, now)
 }
 
@@ -81,10 +81,10 @@
 func (e *endpointLoads) endSecond() Spread {
 	counts := make([]int64, 0, len(e.byID))
 	for _, load := range e.byID {
-		if load.up || load.thisSecond > 0 {
-			counts = append(counts, load.thisSecond)
+		if load.up || load.receivedThisSecond > 0 {
+			counts = append(counts, load.receivedThisSecond)
 		}
-		load.thisSecond = 0
+		load.receivedThisSecond = 0
 	}
 	if len(counts) == 0 {
 		return Spread{}
@@ -103,10 +103,10 @@
 	results := make([]EndpointLoad, 0, len(e.byID))
 	for _, id := range slices.Sorted(maps.Keys(e.byID)) {
 		load := e.byID[id]
-		load.integrate(end)
-		figures := load.figures
-		figures.MeanInFlight = ratio(load.busy.Seconds(), (end - e.start).Seconds())
-		results = append(results, figures)
+		load.accumulateInFlight(end)
+		totals := load.totals
+		totals.MeanInFlight = ratio(load.inFlightIntegral.Seconds(), (end - e.start).Seconds())
+		results = append(results, totals)
 	}
 	return results
 }
--- a/internal/measure/group.go
+++ b/internal/measure/group.go
@@ -2,31 +2,31 @@
 
 // group gathers the figures of the requests of a plan, of a class or of the whole run.
 type group struct {
-	name    string
-	endings [endingKinds]int64
-	value   Value
-	latency latencyHistogram
+	name          string
+	outcomeCounts [outcomeKinds]int64
+	value         Value
+	latency       latencyHistogram
 }
 
 func newGroup(name string) group {
 	return group{name: name, latency: newLatencyHistogram()}
 }
 
-func (v *Value) requestInQuota(value float64) {
+func (v *Value) addRequestedInQuota(value float64) {
 	v.Requested += value
 	v.RequestedInQuota += value
 }
 
-func (v *Value) requestOverQuota(reduced float64) { v.Requested += reduced }
+func (v *Value) addRequestedOverQuota(reduced float64) { v.Requested += reduced }
 
-func (v *Value) earn(value float64, inQuota bool) {
+func (v *Value) addEarned(value float64, inQuota bool) {
 	v.Earned += value
 	if inQuota {
 		v.EarnedInQuota += value
 	}
 }
 
-func (v *Value) forwardOverQuota(cost float64) {
+func (v *Value) addOverQuotaCost(cost float64) {
 	v.OverQuotaCost += cost
 	v.OverQuotaTries++
 }
@@ -42,7 +42,7 @@
 func (g *group) result() Group {
 	return Group{
 		Name:     g.name,
-		Requests: outcomes(g.endings),
+		Requests: outcomes(g.outcomeCounts),
 		Value:    g.value.withShares(),
 		Latency:  g.latency.summary(),
 	}
@@ -56,9 +56,9 @@
 	return results
 }
 
-func outcomes(endings [endingKinds]int64) Outcomes {
+func outcomes(counts [outcomeKinds]int64) Outcomes {
 	total := int64(0)
-	for _, count := range endings {
+	for _, count := range counts {
 		total += count
 	}
 	outcome := func(count int64) Outcome {
@@ -66,13 +66,13 @@
 	}
 	return Outcomes{
 		Total:        total,
-		Served:       outcome(endings[endingServed] + endings[endingLate]),
-		Late:         outcome(endings[endingLate]),
-		Spoilt:       outcome(endings[endingSpoilt]),
-		Rejected:     outcome(endings[endingRejected]),
-		Failed:       outcome(endings[endingFailed]),
-		Missing:      outcome(endings[endingMissing]),
-		Disconnected: outcome(endings[endingDisconnected]),
+		Served:       outcome(counts[outcomeServed] + counts[outcomeLate]),
+		Late:         outcome(counts[outcomeLate]),
+		Spoilt:       outcome(counts[outcomeSpoilt]),
+		Rejected:     outcome(counts[outcomeRejected]),
+		Failed:       outcome(counts[outcomeFailed]),
+		Missing:      outcome(counts[outcomeMissing]),
+		Disconnected: outcome(counts[outcomeDisconnected]),
 	}
 }
 
--- a/internal/measure/load_recorder.go
+++ b/internal/measure/load_recorder.go
@@ -9,9 +9,9 @@
 // LoadRecorder is a Recorder that begins with the load, for runs whose gateways have to become ready first. What is
 // observed until then counts as observed at the begin of the load.
 type LoadRecorder struct {
-	scenario *emulator.Scenario
-	recorder *Recorder // nil until the load has begun
-	earlier  []emulator.Observation
+	scenario   *emulator.Scenario
+	recorder   *Recorder // nil until the load has begun
+	beforeLoad []emulator.Observation
 }
 
 // NewLoadRecorder returns a recorder that has heard of nothing.
@@ -23,7 +23,7 @@
 func (l *LoadRecorder) Observe(at time.Duration, observation emulator.Observation) {
 	if l.recorder == nil {
 		if !beginsLoad(observation) {
-			l.earlier = append(l.earlier, observation)
+			l.beforeLoad = append(l.beforeLoad, observation)
 			return
 		}
 		l.begin(at)
@@ -43,10 +43,10 @@
 
 func (l *LoadRecorder) begin(at time.Duration) {
 	l.recorder = NewRecorder(l.scenario, at)
-	for _, observation := range l.earlier {
+	for _, observation := range l.beforeLoad {
 		l.recorder.Observe(at, observation)
 	}
-	l.earlier = nil
+	l.beforeLoad = nil
 }
 
 // Begun tells whether the load has begun.
--- a/internal/measure/load_recorder_test.go
+++ b/internal/measure/load_recorder_test.go
@@ -8,7 +8,7 @@
 	"springfield/internal/emulator/model"
 )
 
-func TestLoadRecorderBeginsWithTheLoad(t *testing.T) {
+func TestLoadRecorderStartsTimelineWithTheLoad(t *testing.T) {
 	scenario := model.DefaultScenario()
 	recorder := NewLoadRecorder(&scenario)
 	start := time.Duration(time.Now().UnixNano())
--- a/internal/measure/ending.go
+++ b/internal/measure/outcome.go
@@ -20,58 +20,58 @@
 	if !open || t.ended {
 		return
 	}
-	end := r.endingOf(at, t, o)
+	kind := r.classifyAnswer(at, t, o)
 	second := r.timeline.current()
-	switch end {
-	case endingServed, endingLate:
+	switch kind {
+	case outcomeServed, outcomeLate:
 		second.Served++
-		r.served(at, t, end)
-	case endingSpoilt:
+		r.served(at, t, kind)
+	case outcomeSpoilt:
 		second.Spoilt++
-	case endingRejected:
+	case outcomeRejected:
 		second.Rejected++
-	case endingFailed:
+	case outcomeFailed:
 		second.Failed++
 	default:
 		second.Missing++
 	}
-	r.endTry(t, end)
+	r.endTry(t, kind)
 }
 
-func (r *Recorder) endingOf(at time.Duration, t *try, o *emulator.RequestAnswered) ending {
+func (r *Recorder) classifyAnswer(at time.Duration, t *try, o *emulator.RequestAnswered) outcomeKind {
 	switch {
 	case o.Answer == emulator.AnswerRejected:
-		return endingRejected
+		return outcomeRejected
 	case o.Answer == emulator.AnswerFailed:
-		return endingFailed
+		return outcomeFailed
 	case o.Answer != emulator.AnswerServed:
-		return endingMissing
+		return outcomeMissing
 	case !o.Genuine:
-		return endingSpoilt
+		return outcomeSpoilt
 	case at-t.request.submitted > r.scenario.Classes[t.request.class].Objective.Of():
-		return endingLate
+		return outcomeLate
 	default:
-		return endingServed
+		return outcomeServed
 	}
 }
 
 // served books the first genuine response to a request. Another one, to a later try, earns nothing.
-func (r *Recorder) served(at time.Duration, t *try, end ending) {
+func (r *Recorder) served(at time.Duration, t *try, kind outcomeKind) {
 	owner := t.request
-	if owner.ending == endingServed || owner.ending == endingLate {
+	if owner.outcomeKind == outcomeServed || owner.outcomeKind == outcomeLate {
 		return
 	}
 	latency := at - owner.submitted
 	r.timeline.latency.record(latency)
-	r.eachGroup(owner, func(g *group) { g.latency.record(latency) })
-	if end == endingLate {
+	r.forEachGroup(owner, func(g *group) { g.latency.record(latency) })
+	if kind == outcomeLate {
 		return
 	}
 	earned := owner.value
 	if !t.inQuota {
 		earned *= r.scenario.Plans[owner.plan].OverQuotaValue
 	}
-	r.eachGroup(owner, func(g *group) { g.value.earn(earned, t.inQuota) })
+	r.forEachGroup(owner, func(g *group) { g.value.addEarned(earned, t.inQuota) })
 	r.timeline.at(owner.submitted).EarnedValue += earned
 }
 
@@ -82,25 +82,25 @@
 	}
 	if at >= t.deadline { // the client has waited as long as it would
 		r.timeline.current().Missing++
-		r.endTry(t, endingMissing)
+		r.endTry(t, outcomeMissing)
 		return
 	}
 	r.timeline.current().Disconnected++
-	r.endTry(t, endingDisconnected)
+	r.endTry(t, outcomeDisconnected)
 }
 
-func (r *Recorder) endTry(t *try, end ending) {
+func (r *Recorder) endTry(t *try, kind outcomeKind) {
 	t.ended = true
-	r.tries[end]++
-	t.request.settleEnding(end)
-	r.removeIfOver(t)
+	r.tries[kind]++
+	t.request.recordOutcome(kind)
+	r.removeIfDone(t)
 }
 
 // expireRequests takes out the requests that expire by a time, which may lie after the present one.
 func (r *Recorder) expireRequests(by, now time.Duration) {
 	for class := range r.open.byClass {
 		for {
-			expired, found := r.open.nextExpired(class, by)
+			expired, found := r.open.popExpired(class, by)
 			if !found {
 				break
 			}
@@ -115,8 +115,8 @@
 	for _, t := range expired.openTries {
 		if !t.ended {
 			r.timeline.at(min(t.deadline, at)).Missing++
-			r.tries[endingMissing]++
-			expired.settleEnding(endingMissing)
+			r.tries[outcomeMissing]++
+			expired.recordOutcome(outcomeMissing)
 		}
 		for _, a := range t.inFlight {
 			r.quota.attemptEnded(expired)
@@ -125,5 +125,5 @@
 		delete(r.open.tries, t.key)
 	}
 	expired.openTries = nil
-	r.eachGroup(expired, func(g *group) { g.endings[expired.ending]++ })
+	r.forEachGroup(expired, func(g *group) { g.outcomeCounts[expired.outcomeKind]++ })
 }
--- a/internal/measure/quota.go
+++ b/internal/measure/quota.go
@@ -19,8 +19,8 @@
 	return &quota{settled: scenario.Meter.Settled, ledger: model.NewLedger(scenario.Plans)}
 }
 
-// take charges a try whose first attempt has reached an endpoint, and tells whether it is inside the quota.
-func (q *quota) take(now time.Duration, t *try) bool {
+// charge charges a try whose first attempt has reached an endpoint, and tells whether it is inside the quota.
+func (q *quota) charge(now time.Duration, t *try) bool {
 	return q.ledger.Take(now, t.request.customer, t.request.plan, t.units)
 }
 
@@ -38,16 +38,16 @@
 // singleGateway is the gateway that sees all first tries. It admits what is inside the quotas and executes each
 // request at once for the mean work of its class, so that what it admits does not depend on the gateways of the run.
 type singleGateway struct {
-	scenario *emulator.Scenario
-	ledger   *model.Ledger
-	busy     map[policy.CustomerID][]time.Duration // until when a customer's admitted requests are executed
+	scenario       *emulator.Scenario
+	ledger         *model.Ledger
+	executingUntil map[policy.CustomerID][]time.Duration // until when a customer's admitted requests are executed
 }
 
 func newSingleGateway(scenario *emulator.Scenario) *singleGateway {
 	return &singleGateway{
-		scenario: scenario,
-		ledger:   model.NewLedger(scenario.Plans),
-		busy:     make(map[policy.CustomerID][]time.Duration),
+		scenario:       scenario,
+		ledger:         model.NewLedger(scenario.Plans),
+		executingUntil: make(map[policy.CustomerID][]time.Duration),
 	}
 }
 
@@ -57,7 +57,7 @@
 	if g.scenario.Plans[plan].MaxConcurrent <= 0 {
 		return g.ledger.Take(now, customer, plan, submitted.Units)
 	}
-	g.busy[customer] = slices.DeleteFunc(g.busy[customer], func(end time.Duration) bool {
+	g.executingUntil[customer] = slices.DeleteFunc(g.executingUntil[customer], func(end time.Duration) bool {
 		ended := end <= now
 		if ended {
 			g.ledger.EndAttempt(customer, plan)
@@ -67,7 +67,7 @@
 	admitted := g.ledger.Take(now, customer, plan, submitted.Units)
 	if admitted {
 		work := float64(g.scenario.Classes[submitted.Class].Work) * submitted.Units
-		g.busy[customer] = append(g.busy[customer], now+time.Duration(work))
+		g.executingUntil[customer] = append(g.executingUntil[customer], now+time.Duration(work))
 		g.ledger.BeginAttempt(customer, plan)
 	}
 	return admitted
--- a/internal/measure/recorder.go
+++ b/internal/measure/recorder.go
@@ -18,15 +18,15 @@
 	quota     *quota
 	reference *singleGateway
 
-	whole     group
-	plans     []group
-	classes   []group
-	tries     [endingKinds]int64
-	attempts  Attempts
-	endpoints endpointLoads
-	timeline  timeline
-	faults    []FaultSpan
-	active    []activeFault
+	overall      group
+	plans        []group
+	classes      []group
+	tries        [outcomeKinds]int64
+	attempts     Attempts
+	endpoints    endpointLoads
+	timeline     timeline
+	faults       []FaultSpan
+	activeFaults []activeFault
 }
 
 var _ emulator.Observer = (*Recorder)(nil)
@@ -40,7 +40,7 @@
 		open:      newOpenRequests(len(scenario.Classes)),
 		quota:     newQuota(scenario),
 		reference: newSingleGateway(scenario),
-		whole:     newGroup(""),
+		overall:   newGroup(""),
 		endpoints: newEndpointLoads(start),
 		timeline:  newTimeline(start, len(scenario.Plans)),
 	}
@@ -81,7 +81,7 @@
 	case emulator.EndpointStopped:
 		r.endpoints.stopped(o.Endpoint)
 	case emulator.EndpointOverloaded:
-		r.endpoints.load(o.Endpoint).figures.Overloads++
+		r.endpoints.load(o.Endpoint).totals.Overloads++
 	case emulator.FaultChanged:
 		r.faultChanged(at, o)
 	}
@@ -120,20 +120,20 @@
 	if r.reference.admits(at, o) {
 		second.RequestedInQuotaValue += opened.value
 		second.RequestedValue += opened.value
-		r.eachGroup(opened, func(g *group) { g.value.requestInQuota(opened.value) })
+		r.forEachGroup(opened, func(g *group) { g.value.addRequestedInQuota(opened.value) })
 	} else {
 		reduced := opened.value * plan.OverQuotaValue
 		second.RequestedValue += reduced
-		r.eachGroup(opened, func(g *group) { g.value.requestOverQuota(reduced) })
+		r.forEachGroup(opened, func(g *group) { g.value.addRequestedOverQuota(reduced) })
 	}
 	return opened
 }
 
-// eachGroup calls a function for the groups that a request belongs to.
-func (r *Recorder) eachGroup(of *request, do func(*group)) {
-	do(&r.whole)
-	do(&r.plans[of.plan])
-	do(&r.classes[of.class])
+// forEachGroup calls a function for the groups that a request belongs to.
+func (r *Recorder) forEachGroup(owner *request, update func(*group)) {
+	update(&r.overall)
+	update(&r.plans[owner.plan])
+	update(&r.classes[owner.class])
 }
 
 func (r *Recorder) forwarded(o *emulator.AttemptForwarded) {
@@ -143,7 +143,7 @@
 	if o.NewConnection {
 		second.NewConnections++
 		r.attempts.NewConnections++
-		r.endpoints.load(o.Endpoint).figures.NewConnections++
+		r.endpoints.load(o.Endpoint).totals.NewConnections++
 	}
 	t, open := r.open.tries[o.Request]
 	if !open {
@@ -176,7 +176,7 @@
 func (r *Recorder) chargeQuota(at time.Duration, t *try, trueUnits float64) {
 	t.received = true
 	t.trueUnits = trueUnits
-	t.inQuota = r.quota.take(at, t)
+	t.inQuota = r.quota.charge(at, t)
 	plan := &r.timeline.current().Plans[t.request.plan]
 	if t.inQuota {
 		plan.InQuotaUnits += t.units
@@ -184,13 +184,13 @@
 	}
 	plan.OverQuotaUnits += t.units
 	cost := t.request.value * r.scenario.Plans[t.request.plan].OverQuotaCost
-	r.eachGroup(t.request, func(g *group) { g.value.forwardOverQuota(cost) })
+	r.forEachGroup(t.request, func(g *group) { g.value.addOverQuotaCost(cost) })
 }
 
 func (r *Recorder) attemptEnded(at time.Duration, o *emulator.AttemptEnded) {
 	if o.Executed {
 		r.attempts.Executed++
-		r.endpoints.load(o.Endpoint).figures.Executed++
+		r.endpoints.load(o.Endpoint).totals.Executed++
 	}
 	t, open := r.open.tries[o.Request]
 	if !open {
@@ -204,11 +204,11 @@
 		r.endpoints.attemptEnded(at, o.Endpoint)
 	}
 	r.settleQuota(t, o)
-	r.removeIfOver(t)
+	r.removeIfDone(t)
 }
 
-// removeIfOver removes a try that has ended, unless one of its attempts may still reach an endpoint and take units.
-func (r *Recorder) removeIfOver(t *try) {
+// removeIfDone removes a try that has ended, unless one of its attempts may still reach an endpoint and take units.
+func (r *Recorder) removeIfDone(t *try) {
 	if t.ended && t.pending == 0 && len(t.inFlight) == 0 {
 		r.open.removeTry(t)
 	}
--- a/internal/measure/recorder_test.go
+++ b/internal/measure/recorder_test.go
@@ -88,14 +88,14 @@
 	r.answer(milliseconds+50, key, emulator.AnswerServed)
 }
 
-func wantNear(t *testing.T, what string, got, want float64) {
+func wantNear(t *testing.T, quantity string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9 {
-		t.Errorf("%s: got %v, want %v", what, got, want)
+		t.Errorf("%s: got %v, want %v", quantity, got, want)
 	}
 }
 
-func TestValueInsideAndOverTheQuota(t *testing.T) {
+func TestOverQuotaRequestEarnsReducedValue(t *testing.T) {
 	run := newTestRun(testScenario())
 	run.serve(0, 1, 3)   // takes the whole burst
 	run.serve(100, 2, 2) // over the quota
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestUnansweredAndAbandonedRequests(t *testing.T) {
+func TestUnansweredRequestsCountAsMissing(t *testing.T) {
 	run := newTestRun(testScenario())
 	run.submit(0, 1, 1, 1)
 	run.submit(0, 2, 2, 1)
@@ -215,7 +215,7 @@
 	}
 }
 
-func TestConcurrencyLimitAndSettlement(t *testing.T) {
+func TestQuotaAppliesConcurrencyLimitAndSettlement(t *testing.T) {
 	scenario := testScenario()
 	scenario.Plans[0].MaxConcurrent = 1
 	scenario.Meter.Settled = true
@@ -233,7 +233,7 @@
 	}
 }
 
-func TestEndpointLoadAndAttempts(t *testing.T) {
+func TestEndpointLoadAndAttemptsAreCounted(t *testing.T) {
 	run := newTestRun(testScenario())
 	run.at(0, emulator.EndpointStarted{Endpoint: 2, Warming: true})
 	run.submit(0, 1, 1, 1)
@@ -260,7 +260,7 @@
 	}
 }
 
-func TestFaultsAndWorstWindow(t *testing.T) {
+func TestFaultSpansAndWorstWindowAreReported(t *testing.T) {
 	run := newTestRun(testScenario())
 	fault := emulator.Fault{Kind: emulator.FaultSlowEndpoints, Share: 0.5}
 	for second := range 12 {
@@ -284,7 +284,7 @@
 	}
 }
 
-func TestEmptyRunIsJSON(t *testing.T) {
+func TestEmptyRunEncodesAsJSON(t *testing.T) {
 	result := newTestRun(testScenario()).finish(0)
 	if _, err := json.Marshal(result); err != nil {
 		t.Fatal(err)
--- a/internal/measure/request.go
+++ b/internal/measure/request.go
@@ -12,37 +12,37 @@
 // attempt that ends after it, still finds it.
 const expiryGrace = time.Second
 
-// ending is how a request or a try has ended.
-type ending uint8
+// outcomeKind is how a request or a try has ended.
+type outcomeKind uint8
 
 const (
-	endingMissing ending = iota // not answered, at least not yet
-	endingServed
-	endingLate
-	endingSpoilt
-	endingRejected
-	endingFailed
-	endingDisconnected
-	endingKinds
+	outcomeMissing outcomeKind = iota // not answered, at least not yet
+	outcomeServed
+	outcomeLate
+	outcomeSpoilt
+	outcomeRejected
+	outcomeFailed
+	outcomeDisconnected
+	outcomeKinds
 )
 
 // request is a client's first try with its retries. It is kept until its last deadline has passed.
 type request struct {
-	key       emulator.RequestKey
-	customer  policy.CustomerID
-	plan      int
-	class     int
-	submitted time.Duration
-	expiresAt time.Duration
-	value     float64
-	ending    ending // the best that its tries have come to, or else the last
-	openTries []*try
+	key         emulator.RequestKey
+	customer    policy.CustomerID
+	plan        int
+	class       int
+	submitted   time.Duration
+	expiresAt   time.Duration
+	value       float64
+	outcomeKind outcomeKind // the best that its tries have come to, or else the last
+	openTries   []*try
 }
 
-// settleEnding takes in the end of one of the tries. A served request stays served.
-func (r *request) settleEnding(end ending) {
-	if r.ending != endingServed && r.ending != endingLate {
-		r.ending = end
+// recordOutcome takes in the end of one of the tries. A served request stays served.
+func (r *request) recordOutcome(kind outcomeKind) {
+	if r.outcomeKind != outcomeServed && r.outcomeKind != outcomeLate {
+		r.outcomeKind = kind
 	}
 }
 
@@ -109,8 +109,8 @@
 	t.request.openTries = slices.DeleteFunc(open, func(other *try) bool { return other == t })
 }
 
-// nextExpired takes out a request of the class that expires by a time, if there is one.
-func (o *openRequests) nextExpired(class int, by time.Duration) (*request, bool) {
+// popExpired takes out a request of the class that expires by a time, if there is one.
+func (o *openRequests) popExpired(class int, by time.Duration) (*request, bool) {
 	queue := o.byClass[class]
 	if len(queue) == 0 || queue[0].expiresAt > by {
 		return nil, false
--- a/internal/measure/summary.go
+++ b/internal/measure/summary.go
@@ -10,13 +10,13 @@
 
 // activeFault is a fault that has begun and not ended.
 type activeFault struct {
-	fault emulator.Fault
-	span  int // index in Recorder.faults
+	fault     emulator.Fault
+	spanIndex int // index in Recorder.faults
 }
 
 func (r *Recorder) faultChanged(at time.Duration, o emulator.FaultChanged) {
 	if o.Active {
-		r.active = append(r.active, activeFault{fault: o.Fault, span: len(r.faults)})
+		r.activeFaults = append(r.activeFaults, activeFault{fault: o.Fault, spanIndex: len(r.faults)})
 		r.faults = append(r.faults, FaultSpan{
 			Kind:   o.Fault.Kind,
 			Begin:  r.sinceStart(at),
@@ -27,12 +27,12 @@
 		})
 		return
 	}
-	index := slices.IndexFunc(r.active, func(a activeFault) bool { return a.fault == o.Fault })
+	index := slices.IndexFunc(r.activeFaults, func(a activeFault) bool { return a.fault == o.Fault })
 	if index < 0 {
 		return // the end of a fault that never began
 	}
-	r.faults[r.active[index].span].End = r.sinceStart(at)
-	r.active = slices.Delete(r.active, index, index+1)
+	r.faults[r.activeFaults[index].spanIndex].End = r.sinceStart(at)
+	r.activeFaults = slices.Delete(r.activeFaults, index, index+1)
 }
 
 func (r *Recorder) sinceStart(at time.Duration) float64 { return (at - r.start).Seconds() }
@@ -45,17 +45,17 @@
 	r.expireRequests(math.MaxInt64, end)
 	r.timeline.endSecond(&r.endpoints)
 	r.trimTimeline()
-	whole := r.whole.result()
+	overall := r.overall.result()
 	result := Result{
 		Scenario:      r.scenario.Name,
 		Gateways:      r.scenario.Gateways,
 		Endpoints:     r.scenario.Endpoints.Count,
 		LoadSeconds:   r.scenario.Length.Of().Seconds(),
 		LengthSeconds: r.sinceStart(r.lastEvent),
-		Requests:      whole.Requests,
+		Requests:      overall.Requests,
 		Tries:         outcomes(r.tries),
-		Value:         whole.Value,
-		Latency:       whole.Latency,
+		Value:         overall.Value,
+		Latency:       overall.Latency,
 		Attempts:      r.attempts,
 
 		CeilingsBroken: len(r.quota.ledger.CeilingBroken()),
@@ -66,8 +66,8 @@
 		Timeline:     r.timeline.seconds,
 		Faults:       r.faultSpans(end),
 	}
-	result.Attempts.PerRequest = ratio(float64(r.attempts.Forwarded), float64(whole.Requests.Total))
-	result.Attempts.PerServed = ratio(float64(r.attempts.Forwarded), float64(whole.Requests.Served.Count))
+	result.Attempts.PerRequest = ratio(float64(r.attempts.Forwarded), float64(overall.Requests.Total))
+	result.Attempts.PerServed = ratio(float64(r.attempts.Forwarded), float64(overall.Requests.Served.Count))
 	result.Service = r.service(&result)
 	return result
 }
--- a/internal/measure/timeline.go
+++ b/internal/measure/timeline.go
@@ -18,12 +18,12 @@
 
 func newTimeline(start time.Duration, plans int) timeline {
 	t := timeline{start: start, plans: plans, latency: newLatencyHistogram()}
-	t.begin()
+	t.beginSecond()
 	return t
 }
 
-// begin adds a second.
-func (t *timeline) begin() {
+// beginSecond adds a second.
+func (t *timeline) beginSecond() {
 	t.seconds = append(t.seconds, Second{Second: len(t.seconds), Plans: make([]PlanSecond, t.plans)})
 }
 
@@ -31,7 +31,7 @@
 func (t *timeline) advance(now time.Duration, endpoints *endpointLoads) {
 	for now >= t.start+time.Duration(len(t.seconds))*time.Second {
 		t.endSecond(endpoints)
-		t.begin()
+		t.beginSecond()
 	}
 }
 
