--- a/internal/emulator/virtual/attempt.go
+++ b/internal/emulator/virtual/attempt.go
@@ -13,20 +13,20 @@
 	request     *request
 	endpoint    *endpoint
 	number      int
-	forwardedAt time.Duration // when the decider asked for it
+	forwardedAt time.Duration // when the decider forwarded the request
 
-	connection    *connection // nil while it is being opened
+	connection    *connection // nil until the endpoint has accepted the connection
 	newConnection bool
-	activeIndex   int // in endpoint.active, or notActive
+	activeIndex   int // index in endpoint.active, or notActive
 
-	sent        bool // its first byte is on its way
-	received    bool // it has reached the endpoint complete
-	executed    bool // the endpoint has executed it, or will, or the gateway can't exclude it
-	endObserved bool // its end has been
-	ended       bool // the gateway waits for it no longer
+	sent        bool // the gateway has sent the first byte
+	received    bool // the endpoint has received the complete attempt
+	executed    bool // the endpoint has executed the attempt, will execute it, or may do so
+	endObserved bool // the end of the attempt has been observed
+	ended       bool // the gateway no longer waits for the attempt
 }
 
-// start sends the attempt on an idle connection, or opens one.
+// start sends the attempt on an idle connection, or dials a new one.
 func (a *attempt) start() {
 	g := a.request.gateway
 	w := g.world
@@ -47,13 +47,13 @@
 	w.scheduler.After(w.network.Delay(), a.handleConnect)
 }
 
-// useConnection takes a connection for the attempt.
+// useConnection assigns a connection to the attempt.
 func (a *attempt) useConnection(c *connection) {
 	a.connection = c
 	a.endpoint.addActive(a)
 }
 
-// handleConnect handles that a new connection is asked for at the endpoint.
+// handleConnect handles the arrival of a connection request at the endpoint.
 func (a *attempt) handleConnect() {
 	w := a.request.gateway.world
 	if a.endpoint.stopped() || !a.endpoint.server.Connect() {
@@ -70,7 +70,8 @@
 	w.scheduler.After(w.network.Delay()+w.scenario.Endpoints.HandshakeDelay.Of(), a.handleConnected)
 }
 
-// handleConnected handles that a new connection is up. Its endpoint may have left the list meanwhile.
+// handleConnected sends the attempt over its established connection, unless the endpoint is no longer ready in the
+// gateway's list.
 func (a *attempt) handleConnected() {
 	if a.ended || a.connection.isLost() {
 		return
@@ -98,7 +99,8 @@
 	w.scheduler.After(w.network.Delay(), func() { a.handleReceived(connection) })
 }
 
-// handleReceived handles that the attempt has reached its endpoint complete, perhaps after the gateway has given it up.
+// handleReceived handles the arrival of the complete attempt at its endpoint. The gateway may have given the attempt up
+// by then.
 func (a *attempt) handleReceived(c *connection) {
 	g := a.request.gateway
 	w := g.world
@@ -126,7 +128,7 @@
 	}
 }
 
-// reset breaks the connection of an attempt under it.
+// reset breaks the connection of an attempt in progress.
 func (a *attempt) reset(c *connection) {
 	if a.ended || a.endObserved || c.isLost() {
 		return
@@ -135,8 +137,8 @@
 	a.handleConnectionLost()
 }
 
-// handleConnectionLost handles at the endpoint that the attempt's connection is broken. The gateway learns of it a
-// little later, unless it is cut off.
+// handleConnectionLost reports the broken connection of an attempt to the gateway, after the network delay. A gateway
+// that is partitioned from the endpoint does not learn of it.
 func (a *attempt) handleConnectionLost() {
 	w := a.request.gateway.world
 	if a.ended || !w.reachable(a.request.gateway, a.endpoint) {
@@ -149,7 +151,7 @@
 	w.scheduler.After(w.network.Delay(), func() { a.end(status) })
 }
 
-// response is what an endpoint has written.
+// response is a response that an endpoint has written.
 type response struct {
 	status   policy.Status
 	hasUsage bool
@@ -157,7 +159,7 @@
 	load     policy.LoadReport
 }
 
-// respond handles that the endpoint is done with the attempt. It is a model.Job's Done.
+// respond handles the end of the endpoint's work on the attempt. It is the Done function of a model.Job.
 func (a *attempt) respond(result model.JobResult) {
 	g := a.request.gateway
 	w := g.world
@@ -168,7 +170,7 @@
 	resp := response{status: jobStatus(result)}
 	if resp.status == policy.StatusOK {
 		if w.spoiltShare > 0 && w.attemptRandom.Float64() < w.spoiltShare {
-			a.handleConnectionLost() // the gateway can't read the answer and closes the connection
+			a.handleConnectionLost() // the gateway cannot parse the response and closes the connection
 			return
 		}
 		w.settleUnits(a.request)
@@ -193,7 +195,7 @@
 	}
 }
 
-// handleResponse handles that the response has reached the gateway.
+// handleResponse handles the arrival of the response at the gateway.
 func (a *attempt) handleResponse(resp response) {
 	if a.ended {
 		return
@@ -206,7 +208,7 @@
 	}
 }
 
-// end ends the attempt without a response. Its connection is closed.
+// end ends the attempt without a response and closes its connection.
 func (a *attempt) end(status policy.Status) {
 	if a.ended {
 		return
@@ -217,7 +219,7 @@
 	}
 }
 
-// giveUp ends the attempt because the gateway waits for it no longer.
+// giveUp ends the attempt after a timeout or a cancellation. An attempt that was not sent ends with StatusNotSent.
 func (a *attempt) giveUp(status policy.Status) {
 	if !a.sent {
 		status = policy.StatusNotSent
@@ -225,7 +227,7 @@
 	a.end(status)
 }
 
-// abandon ends the attempt and tells the gateway's decider nothing.
+// abandon ends the attempt without passing a result to the gateway's decider.
 func (a *attempt) abandon(status policy.Status) {
 	a.ended = true
 	if a.connection != nil {
--- a/internal/emulator/virtual/bench_test.go
+++ b/internal/emulator/virtual/bench_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// BenchmarkFleet plays 30 s of fleets of growing size. Each run is measured whole, with the setting-up.
+// BenchmarkFleet emulates 30 s of virtual time for fleets of increasing size. The measured time includes the setup of
+// each run.
 func BenchmarkFleet(b *testing.B) {
 	for _, size := range []struct{ gateways, endpoints int }{{10, 6}, {100, 60}, {1000, 600}} {
 		b.Run(fmt.Sprintf("gateways=%d", size.gateways), func(b *testing.B) {
@@ -29,7 +30,8 @@
 	}
 }
 
-// systemMegabytes is the memory that the process has obtained from the system so far, all runs before included.
+// systemMegabytes returns how many MiB of memory the process has obtained from the operating system so far, also in
+// earlier runs.
 func systemMegabytes() float64 {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
--- a/internal/emulator/virtual/connection.go
+++ b/internal/emulator/virtual/connection.go
@@ -7,22 +7,22 @@
 	"springfield/policy"
 )
 
-// reuseDelay is how long a gateway lets a connection rest after a response.
+// reuseDelay is how long a gateway does not reuse a connection after a response, as in package internal/upstream.
 const reuseDelay = 20 * time.Millisecond
 
-// connection is one from a gateway to an endpoint's process.
+// connection is a connection from a gateway to a process of an endpoint.
 type connection struct {
 	endpoint           *endpoint
-	incarnation        int // of the endpoint's process
+	incarnation        int // incarnation of the process that accepted the connection
 	idleSince          time.Duration
-	idleTimerScheduled bool // its idle time-out is scheduled
+	idleTimerScheduled bool // a check for the idle timeout is scheduled
 	closed             bool
 }
 
-// isLost reports whether the process at the other end has ended.
+// isLost reports whether the endpoint's process at the other end has ended.
 func (c *connection) isLost() bool { return c.incarnation != c.endpoint.incarnation }
 
-// close closes a connection. The endpoint frees its place in the table.
+// close closes the connection and frees its place in the endpoint's connection table.
 func (c *connection) close() {
 	if c.closed {
 		return
@@ -33,17 +33,17 @@
 	}
 }
 
-// endpointView is what a gateway knows of an endpoint, and its idle connections to it.
+// endpointView holds what a gateway knows of an endpoint, and the gateway's idle connections to it.
 type endpointView struct {
-	known         bool // it has been in the list
+	known         bool // the endpoint has appeared in a list
 	state         policy.EndpointState
 	startedAt     time.Duration
-	notifiedStart time.Duration // the start that the gateway counts as notified of
-	idle          []*connection // in the order in which they became idle
+	notifiedStart time.Duration // latest start of the endpoint of which the gateway counts as notified
+	idle          []*connection // idle connections in the order in which they became idle
 }
 
-// acquireIdle returns an idle connection that can be reused: of those that have rested, the one that was used last. It
-// returns nil if there is none.
+// acquireIdle removes and returns an idle connection that can be reused: of those that have been idle for at least
+// reuseDelay, the one that was used last. It returns nil if there is none.
 func (v *endpointView) acquireIdle(now time.Duration) *connection {
 	for i := len(v.idle) - 1; i >= 0; i-- {
 		c := v.idle[i]
@@ -66,7 +66,7 @@
 	v.idle = nil
 }
 
-// releaseConnection keeps a connection for the next attempt, or closes it if none may come.
+// releaseConnection keeps a connection for reuse, or closes it if the endpoint takes no more attempts.
 func (g *gateway) releaseConnection(c *connection) {
 	view := g.view(c.endpoint.id)
 	if c.isLost() || view.state != policy.StateReady {
@@ -80,8 +80,9 @@
 	}
 }
 
-// scheduleIdleTimeout closes a connection that is still idle after the time-out. One that has been used meanwhile is
-// looked at again, so that a connection has one such function scheduled and not one for each response.
+// scheduleIdleTimeout schedules a check that closes the connection if it has been idle for the timeout. If the
+// connection was used in the meantime, the check is scheduled again. This way each connection has one scheduled check,
+// instead of one for each response.
 func (g *gateway) scheduleIdleTimeout(c *connection, delay time.Duration) {
 	timeout := g.world.scenario.Endpoints.IdleTimeout.Of()
 	if timeout <= 0 {
@@ -96,7 +97,7 @@
 		view := g.view(c.endpoint.id)
 		i := slices.Index(view.idle, c)
 		if i < 0 {
-			return // in use: its release schedules the next look
+			return // the connection is in use, and its release schedules the next check
 		}
 		if remaining := c.idleSince + timeout - g.world.scheduler.Now(); remaining > 0 {
 			g.scheduleIdleTimeout(c, remaining)
--- a/internal/emulator/virtual/endpoint.go
+++ b/internal/emulator/virtual/endpoint.go
@@ -8,17 +8,19 @@
 	"springfield/policy"
 )
 
-// endpoint is an upstream server with what the world knows around the model of its machine.
+// endpoint is an upstream server: the model of its machine with its zone, connections and partitions.
 type endpoint struct {
-	id          policy.EndpointID
-	zone, cell  int
-	server      *model.Server
-	incarnation int        // of its process; connections to an earlier one are gone
-	active      []*attempt // that have a connection to its process; the seed determines their order
-	partitions  int        // partitions that cut it off from all gateways now
+	id         policy.EndpointID
+	zone, cell int
+	server     *model.Server
+	// incarnation increases at each stop and start of the process, so that it is odd while the process is stopped.
+	// Connections to an earlier incarnation are lost.
+	incarnation int
+	active      []*attempt // attempts with a connection to the process, in an order that the seed determines
+	partitions  int        // number of active partitions that isolate the endpoint from all gateways
 }
 
-// addEndpoint starts a new endpoint. startedAt 0 means that it has run for long.
+// addEndpoint starts a new endpoint. If startedAt is 0, the endpoint has been running for long and does not warm up.
 func (w *world) addEndpoint(zone, cell int, startedAt time.Duration) {
 	e := &endpoint{id: policy.EndpointID(len(w.endpoints) + 1), zone: zone, cell: cell}
 	e.server = model.NewScenarioServer(w.scenario, e.id, zone, cell, startedAt, w.scheduler, w.serverRandom)
@@ -37,7 +39,7 @@
 	return w.endpoints[id-1]
 }
 
-// publish gives discovery the entry of an endpoint.
+// publish sets the endpoint's entry in discovery.
 func (w *world) publish(e *endpoint, state policy.EndpointState) {
 	w.discovery.Set(policy.Endpoint{
 		ID:        e.id,
@@ -49,13 +51,14 @@
 	})
 }
 
-// endpointOverloaded handles that an endpoint has failed while it warmed up: it stays down.
+// endpointOverloaded handles the failure of an endpoint that was overloaded during its warm-up. The endpoint stays
+// down.
 func (w *world) endpointOverloaded(e *endpoint, informedShare float64) {
 	w.observe(emulator.EndpointOverloaded{Endpoint: e.id, InformedShare: informedShare})
 	w.stopEndpoint(e)
 }
 
-// stopEndpoint ends an endpoint's process: its connections are reset.
+// stopEndpoint ends the process of an endpoint and resets its connections.
 func (w *world) stopEndpoint(e *endpoint) {
 	if e.stopped() {
 		return
@@ -72,7 +75,7 @@
 	}
 }
 
-// startEndpoint starts an endpoint's process again.
+// startEndpoint starts a new process of a stopped endpoint.
 func (w *world) startEndpoint(e *endpoint) {
 	if !e.stopped() {
 		return
@@ -83,7 +86,7 @@
 	w.publish(e, policy.StateReady)
 }
 
-// stopped reports whether the endpoint's process has ended: incarnations with an odd number are none.
+// stopped reports whether the endpoint's process has ended. A stopped endpoint has an odd incarnation.
 func (e *endpoint) stopped() bool { return e.incarnation%2 == 1 }
 
 // notActive is the activeIndex of an attempt without a connection.
--- a/internal/emulator/virtual/faults.go
+++ b/internal/emulator/virtual/faults.go
@@ -5,7 +5,7 @@
 	"springfield/policy"
 )
 
-// faultTarget lets the fault schedule act on the world.
+// faultTarget applies the faults of a scenario to the world.
 type faultTarget struct{ w *world }
 
 var _ model.FaultTarget = faultTarget{}
@@ -100,7 +100,8 @@
 // SetDiscoveryDown implements model.FaultTarget.
 func (t faultTarget) SetDiscoveryDown(down bool) { t.w.discovery.SetDown(down) }
 
-// SilenceWatches implements model.FaultTarget. The gateways notice by the missing keep-alive lines.
+// SilenceWatches implements model.FaultTarget. The gateways detect the silence by the missing keep-alive lines, and
+// reopen their watches after watchTimeout.
 func (t faultTarget) SilenceWatches() {
 	t.w.discovery.Silence()
 	for _, g := range t.w.gateways {
@@ -110,7 +111,8 @@
 	}
 }
 
-// MoveDiscovery implements model.FaultTarget. The gateways are told of the new address and begin again there.
+// MoveDiscovery implements model.FaultTarget. The gateways are configured with the new address of discovery and open
+// new watches there.
 func (t faultTarget) MoveDiscovery() {
 	for _, g := range t.w.gateways {
 		if g.running {
--- a/internal/emulator/virtual/gateway.go
+++ b/internal/emulator/virtual/gateway.go
@@ -11,28 +11,31 @@
 	"springfield/policy"
 )
 
-// The life cycle of a gateway, as that of internal/gateway.
+// Durations of a gateway's shutdown and restart, which model those of package internal/gateway.
 const (
-	// drainDelay is how long a gateway accepts new connections after it was told to end.
+	// drainDelay is how long a gateway accepts new connections after the start of its shutdown.
 	drainDelay = 500 * time.Millisecond
 
-	// maxDrainDuration bounds how long requests may take in a drain.
+	// maxDrainDuration limits the time that open requests have to finish after drainDelay.
 	maxDrainDuration = 3 * time.Second
 
-	// exitMargin is for the last answers to reach their clients.
+	// exitMargin is how long a process waits after the answer deadline of its shutdown, so that the last answers reach
+	// their clients.
 	exitMargin = 100 * time.Millisecond
 
-	// frontDrainDelay is how long the front goes on to bring new requests to a gateway that was told to end.
+	// frontDrainDelay is how long the load balancer in front of the gateways sends new requests to a gateway after the
+	// start of its shutdown.
 	frontDrainDelay = 300 * time.Millisecond
 
-	// drainPollInterval is how often a drain looks whether the last request has been answered.
+	// drainPollInterval is the time between two checks whether a draining gateway has answered its last request.
 	drainPollInterval = 10 * time.Millisecond
 
-	// restartDelay is how long a new process takes until it is ready.
+	// restartDelay is how long a new gateway process takes to become ready.
 	restartDelay = 500 * time.Millisecond
 )
 
-// gateway is one gateway of the fleet: a decider and what carries its decisions out.
+// gateway models one gateway of the fleet: its decider, and the requests and connections with which it carries out
+// decisions.
 type gateway struct {
 	world  *world
 	number int
@@ -40,15 +43,15 @@
 	config policy.Config
 
 	decider     emulator.Decider
-	incarnation int  // of the process
-	running     bool // the process is
-	inRotation  bool // the front brings new requests
-	answerBy    time.Duration
+	incarnation int           // number of the process, increased at each start
+	running     bool          // the process has started and not ended
+	inRotation  bool          // the load balancer in front of the gateways sends new requests to this one
+	answerBy    time.Duration // when all answers are due in a shutdown
 	draining    bool
-	requests    map[policy.RequestID]*request // open ones
+	requests    map[policy.RequestID]*request // open requests
 	lastID      policy.RequestID
 
-	views       []endpointView // by endpoint id, from 1
+	views       []endpointView // the entry at index i belongs to the endpoint with ID i + 1
 	cancelWatch func()
 }
 
@@ -62,7 +65,7 @@
 	}
 }
 
-// start starts the gateway's process with the endpoint list in its configuration, and makes it ready.
+// start starts the gateway's process with a configured endpoint list and makes it ready.
 func (g *gateway) start(list []policy.Endpoint) {
 	if g.running {
 		return
@@ -80,7 +83,7 @@
 	g.openWatch()
 }
 
-// submit passes a new request to the decider.
+// submit registers a new request and passes it to the decider.
 func (g *gateway) submit(r *request) {
 	now := g.world.scheduler.Now()
 	g.lastID++
@@ -101,20 +104,20 @@
 	})
 }
 
-// closeRequest forgets a request that is owed nothing any more.
+// closeRequest removes a request that needs no further answer.
 func (g *gateway) closeRequest(r *request) {
 	r.open = false
 	delete(g.requests, r.id)
 }
 
-// kill ends the process at once, as a crash does.
+// kill ends the process immediately, as a crash does.
 func (g *gateway) kill() {
 	if g.running {
 		g.stop(true)
 	}
 }
 
-// restart shuts the process down gracefully and starts another one.
+// restart shuts the process down gracefully and then starts a new one.
 func (g *gateway) restart() {
 	if !g.running || g.draining {
 		return
@@ -138,7 +141,8 @@
 	w.scheduler.After(drainDelay, func() { g.exitWhenDrained(incarnation) })
 }
 
-// exitWhenDrained ends a process that drains once all of its requests are answered, or when it may be killed.
+// exitWhenDrained ends a draining process once all of its requests are answered, but at the latest exitMargin after
+// answerBy. A new process is ready after restartDelay.
 func (g *gateway) exitWhenDrained(incarnation int) {
 	if g.incarnation != incarnation || !g.running {
 		return
@@ -153,7 +157,7 @@
 	w.scheduler.After(restartDelay, func() { g.start(list) })
 }
 
-// stop ends the process: its connections are reset, and what it held is gone.
+// stop ends the process: its connections are reset, and its open requests remain without an answer.
 func (g *gateway) stop(killed bool) {
 	w := g.world
 	g.running = false
@@ -169,7 +173,7 @@
 		}
 	}
 	for _, e := range w.endpoints {
-		for _, a := range slices.Clone(e.active) { // attempts whose clients have gone
+		for _, a := range slices.Clone(e.active) { // These attempts are open although their clients have disconnected.
 			if a.request.gateway == g && !a.ended {
 				a.abandon(policy.StatusCancelled)
 			}
@@ -186,7 +190,7 @@
 	})
 }
 
-// openRequests returns the open requests in the order in which they came.
+// openRequests returns the open requests in order of arrival.
 func (g *gateway) openRequests() []*request {
 	open := make([]*request, 0, len(g.requests))
 	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
@@ -195,8 +199,8 @@
 	return open
 }
 
-// actions carries out the decisions of a gateway's decider. It is called while the decider handles an event, so nothing
-// here calls the decider back at once.
+// actions carries out the decisions of a gateway's decider. The decider calls these methods while it handles an event,
+// so they must not call it back synchronously.
 type actions struct{ g *gateway }
 
 var _ policy.Actions = actions{}
@@ -262,5 +266,5 @@
 	})
 }
 
-// WatchEndpoints does nothing: as in a real gateway, discovery is always watched.
+// WatchEndpoints implements policy.Actions. It does nothing, because gateways watch discovery all the time.
 func (x actions) WatchEndpoints(bool) {}
--- a/internal/emulator/virtual/request.go
+++ b/internal/emulator/virtual/request.go
@@ -9,36 +9,37 @@
 	"springfield/policy"
 )
 
-// lateAnswerWait is how long after its deadline a client still takes note of an answer. It is longer than an answer may
-// be late, so that late ones are told from missing ones.
+// lateAnswerWait is how long after its deadline a client still accepts an answer. It exceeds model.AnswerGrace, so that
+// late answers are distinguished from missing ones.
 const lateAnswerWait = model.AnswerGrace + 100*time.Millisecond
 
-// request is one try of a client at a gateway.
+// request is one try of a client at a gateway. A client's retry is another request.
 type request struct {
 	arrival      model.Arrival
 	gateway      *gateway
-	incarnation  int // of the gateway's process
+	incarnation  int // incarnation of the gateway's process that received the request
 	id           policy.RequestID
-	deadline     time.Duration // of the final answer, brought forward by a shutdown
-	attempts     int           // so far
+	deadline     time.Duration // when the final answer is due; a shutdown may bring it forward
+	attempts     int           // number of attempts so far
 	inFlight     []*attempt
-	open         bool // the gateway owes a final answer
-	unitsSettled bool // the true units have been taken
-	unitsTaken   bool // the units have been
-	clientDone   bool // the client has its answer, or waits for none
+	open         bool // the final answer is still due
+	unitsSettled bool // the charged units have been corrected to the true units
+	unitsCharged bool // the units have been charged to the quota
+	clientDone   bool // the client has its answer or no longer waits for one
 }
 
-// orphaned reports whether the gateway's process has ended.
+// orphaned reports whether the gateway process that received the request has ended.
 func (r *request) orphaned() bool {
 	return r.incarnation != r.gateway.incarnation || !r.gateway.running
 }
 
-// submit handles that a client sends a try. The front takes it to a gateway.
+// submit sends a try of a client to the gateways, which receive it after the network delay.
 func (w *world) submit(arrival model.Arrival) {
 	w.scheduler.After(w.network.Delay(), func() { w.receiveRequest(arrival) })
 }
 
-// receiveRequest handles that a client's request has reached a gateway's machine.
+// receiveRequest handles the arrival of a client's request at the gateway that the load balancer in front of the
+// gateways selects.
 func (w *world) receiveRequest(arrival model.Arrival) {
 	w.requests++
 	now := w.scheduler.Now()
@@ -67,7 +68,7 @@
 	g.submit(r)
 }
 
-// answerClient handles that the client gets its final answer, and lets it retry.
+// answerClient handles the arrival of the final answer at the client, and submits the client's retry if there is one.
 func (r *request) answerClient(answer emulator.Answer, retryAfter time.Duration) {
 	if r.clientDone {
 		return
@@ -88,7 +89,7 @@
 	w.scheduler.After(retry.At-w.scheduler.Now(), func() { w.submit(retry) })
 }
 
-// clientTimedOut handles that the client waits no longer.
+// clientTimedOut handles a client that has no answer lateAnswerWait after its deadline.
 func (r *request) clientTimedOut() {
 	if r.clientDone {
 		return
@@ -97,7 +98,7 @@
 	r.handleDisconnect()
 }
 
-// clientDisconnects handles that the client closes its connection before it has an answer.
+// clientDisconnects handles a client that closes its connection before it has an answer.
 func (r *request) clientDisconnects() {
 	if r.clientDone {
 		return
@@ -109,8 +110,8 @@
 	w.scheduler.After(w.network.Delay(), r.handleDisconnect)
 }
 
-// handleDisconnect handles at the gateway that the client has closed its connection. What has not been sent is not sent
-// any more; the decider says what becomes of the rest.
+// handleDisconnect handles the closed connection of a client at the gateway. Attempts that have not been sent are
+// dropped, and the decider may cancel the others.
 func (r *request) handleDisconnect() {
 	if !r.open || r.orphaned() {
 		return
@@ -125,7 +126,7 @@
 	g.closeRequest(r)
 }
 
-// answer gives the client its final answer.
+// answer closes the request and sends the final answer to the client.
 func (r *request) answer(answer emulator.Answer, retryAfter time.Duration) {
 	if !r.open {
 		return
@@ -135,7 +136,8 @@
 	w.scheduler.After(w.network.Delay(), func() { r.answerClient(answer, retryAfter) })
 }
 
-// attemptFinished passes the result of an attempt on to the decider. A served request is answered before.
+// attemptFinished passes the result of an attempt to the decider. If the attempt was successful, the client is answered
+// first.
 func (r *request) attemptFinished(a *attempt, resp response) {
 	g := r.gateway
 	if i := slices.Index(r.inFlight, a); i >= 0 {
@@ -160,19 +162,20 @@
 	g.decider.AttemptFinished(g.world.scheduler.Now(), result)
 }
 
-// chargeUnits takes the units of a try from its customer's quota, once.
+// chargeUnits charges the units of a request to the customer's quota. Only the first attempt of a request is charged.
 func (w *world) chargeUnits(r *request) {
-	if r.unitsTaken {
+	if r.unitsCharged {
 		return
 	}
-	r.unitsTaken = true
+	r.unitsCharged = true
 	now, arrival := w.scheduler.Now(), &r.arrival
 	w.ledger.Take(now, arrival.Customer, arrival.Plan, arrival.Units)
 	w.meter.Record(now, arrival.Customer, arrival.Units)
 	w.truth.recordQuota(arrival.Customer, arrival.Plan)
 }
 
-// settleUnits corrects the units of a try that were a guess, once.
+// settleUnits corrects the charged units of a request, which were an estimate, to the true units. Only the first call
+// for a request has an effect.
 func (w *world) settleUnits(r *request) {
 	difference := r.arrival.TrueUnits - r.arrival.Units
 	if r.unitsSettled || !w.scenario.Meter.Settled || difference == 0 {
--- a/internal/emulator/virtual/run.go
+++ b/internal/emulator/virtual/run.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// StartTime is when the load of every run begins, as Unix time.
+	// StartTime is the Unix time at which the load of every run begins.
 	StartTime = 1_750_000_000 * time.Second
 
-	// contextCheckInterval is how often, in virtual time, a run looks whether its context has ended.
+	// contextCheckInterval is the virtual time between two checks whether the run's context has ended.
 	contextCheckInterval = 50 * time.Millisecond
 
-	// lateAnswerPeriod is how long after the last deadline a run goes on, so that late answers are seen.
+	// lateAnswerPeriod is how long a run continues after the last deadline, so that late answers are observed.
 	lateAnswerPeriod = 2 * time.Second
 )
 
-// Options describe a run.
+// Options configures a run.
 type Options struct {
 	Scenario   emulator.Scenario
 	Seed       uint64
-	NewDecider emulator.NewDecider // of each gateway; nil: PolicyDecider
-	Observer   emulator.Observer   // nil: nobody observes
+	NewDecider emulator.NewDecider // creates the decider of each gateway; nil selects PolicyDecider
+	Observer   emulator.Observer   // receives the observations of the run; may be nil
 }
 
-// Summary tells how much a run has done.
+// Summary reports the amount of work in a run.
 type Summary struct {
-	Events      int64         // functions that the scheduler has run
-	Requests    int64         // tries of clients, their retries included
-	Attempts    int64         // attempts that were sent to endpoints
-	Connections int64         // that gateways have opened to endpoints
-	VirtualTime time.Duration // that the run covers
-	WallTime    time.Duration // that it took
+	Events      int64         // functions that the scheduler has executed
+	Requests    int64         // tries of clients, retries included
+	Attempts    int64         // attempts sent to endpoints
+	Connections int64         // connections that gateways opened to endpoints
+	VirtualTime time.Duration // virtual time that the run covers
+	WallTime    time.Duration // real time that the run took
 }
 
-// Run plays a scenario until its load is over and all of its requests are answered. If ctx ends before, it returns what
-// was done until then and the error of ctx.
+// Run executes a scenario until its load has ended and all requests have their final answers. If ctx ends earlier, Run
+// returns the summary up to that point and the error of ctx.
 func Run(ctx context.Context, options Options) (Summary, error) {
 	if err := model.Validate(&options.Scenario); err != nil {
 		return Summary{}, fmt.Errorf("scenario: %w", err)
@@ -62,7 +62,8 @@
 	}, err
 }
 
-// play runs the scheduler until no request is open after the end of the load, and no later than all must be answered.
+// play runs the scheduler until the load has ended and no request is pending, at most until lateAnswerPeriod after the
+// last deadline.
 func (w *world) play(ctx context.Context) error {
 	loadEnd := StartTime + w.scenario.Length.Of()
 	latestEnd := loadEnd + lateAnswerPeriod
--- a/internal/emulator/virtual/run_test.go
+++ b/internal/emulator/virtual/run_test.go
@@ -23,15 +23,15 @@
 	c[reflect.TypeOf(observation).Name()]++
 }
 
-// hashObserver hashes all observations, in their order.
+// hashObserver computes a hash of all observations in their order.
 type hashObserver struct{ hash.Hash64 }
 
 // Observe implements emulator.Observer.
 func (o hashObserver) Observe(at time.Duration, observation emulator.Observation) {
-	_, _ = fmt.Fprintf(o, "%d %T%+v\n", at, observation, observation) // a hash never fails
+	_, _ = fmt.Fprintf(o, "%d %T%+v\n", at, observation, observation) // writing to a hash never fails
 }
 
-// runOnce plays a scenario, and returns the summary without what depends on the machine.
+// runOnce executes a scenario and returns the summary without its WallTime, which depends on the machine.
 func runOnce(t *testing.T, scenario emulator.Scenario, seed uint64, observer emulator.Observer) Summary {
 	t.Helper()
 	summary, err := Run(t.Context(), Options{Scenario: scenario, Seed: seed, Observer: observer})
@@ -42,6 +42,7 @@
 	return summary
 }
 
+// A run that depends on anything but its scenario and seed, such as map order or wall time, could not be reproduced.
 func TestSeedDeterminesRun(t *testing.T) {
 	first, second, other := hashObserver{fnv.New64a()}, hashObserver{fnv.New64a()}, hashObserver{fnv.New64a()}
 	scenario := faultyScenario()
@@ -52,11 +53,12 @@
 		t.Errorf("two runs of one seed differ: %+v %x, %+v %x", firstSummary, first.Sum64(), secondSummary, second.Sum64())
 	}
 	if other.Sum64() == first.Sum64() {
-		t.Error("two seeds gave the same run")
+		t.Error("two seeds produced the same run")
 	}
 }
 
-// Every kind of observation is made, and the policy keeps the rules.
+// The policy must break no rule while all kinds of faults occur. The run must also produce every type of observation
+// but EndpointOverloaded, so that no rule passes for lack of observations.
 func TestPolicyKeepsRulesUnderFaults(t *testing.T) {
 	scenario := faultyScenario()
 	for seed := range uint64(3) {
@@ -64,14 +66,15 @@
 		summary := runOnce(t, scenario, seed, emulator.Observers{checker, counter})
 		report := checker.Finish(StartTime + summary.VirtualTime)
 		if !report.Kept() {
-			t.Errorf("seed %d: %+v", seed, report)
+			t.Errorf("seed %d: rules were violated: %+v", seed, report)
 		}
-		if len(counter) < 12 { // all but EndpointOverloaded
-			t.Errorf("seed %d: only these observations were made: %v", seed, counter)
+		if len(counter) < 12 { // all types but EndpointOverloaded
+			t.Errorf("seed %d: got only these types of observations: %v", seed, counter)
 		}
 	}
 }
 
+// A request that is lost in the emulator would be counted neither as answered nor as disconnected.
 func TestEveryRequestIsAnswered(t *testing.T) {
 	counter := typeCounter{}
 	scenario := model.DefaultScenario()
@@ -80,7 +83,7 @@
 	submitted := counter["RequestSubmitted"]
 	finished := counter["RequestAnswered"] + counter["ClientDisconnected"]
 	if submitted == 0 || submitted != finished || int64(submitted) != summary.Requests {
-		t.Errorf("%d requests, %d of them over: %+v %v", submitted, finished, summary, counter)
+		t.Errorf("%d requests were submitted and %d have ended: %+v %v", submitted, finished, summary, counter)
 	}
 }
 
--- a/internal/emulator/virtual/scenarios_test.go
+++ b/internal/emulator/virtual/scenarios_test.go
@@ -7,7 +7,8 @@
 	"springfield/internal/emulator/model"
 )
 
-// fleetScenario returns a deployment of many gateways, with the sizes and costs that grow along.
+// fleetScenario returns a deployment of many gateways. Each customer uses 1% to 5% of the gateways, and the connection
+// limit of an endpoint grows with the number of gateways.
 func fleetScenario(gateways, endpoints int) emulator.Scenario {
 	scenario := model.DefaultScenario()
 	scenario.Name = "fleet"
@@ -19,7 +20,7 @@
 	return scenario
 }
 
-// faultyScenario returns a small deployment with one fault of each kind.
+// faultyScenario returns a small deployment in which each kind of fault occurs.
 func faultyScenario() emulator.Scenario {
 	scenario := model.DefaultScenario()
 	scenario.Name = "faulty"
--- a/internal/emulator/virtual/truth.go
+++ b/internal/emulator/virtual/truth.go
@@ -8,32 +8,34 @@
 )
 
 const (
-	// backlogInterval is how often the backlog of each endpoint is recorded once an oracle has asked for an old one.
+	// backlogInterval is the time between two samples of the endpoints' backlogs. Sampling starts when an oracle first
+	// asks for a past state.
 	backlogInterval = 50 * time.Millisecond
 
-	// historyLength bounds the age that an oracle can ask for.
+	// historyLength is the greatest age of which past states are kept.
 	historyLength = 2 * time.Second
 
-	backlogSamples = int(historyLength/backlogInterval) + 1
+	backlogSamples = int(historyLength/backlogInterval) + 1 // the samples at both ends of the history included
 )
 
-// truth answers oracles. It records nothing until the first of them asks for what was.
+// truth gives oracles the true state of the deployment. It records past states only after an oracle has first asked for
+// one.
 type truth struct {
 	world     *world
 	recording bool
-	backlogs  []backlogHistory // by endpoint id, from 1
+	backlogs  []backlogHistory // the entry at index i belongs to the endpoint with ID i + 1
 	quotas    map[policy.CustomerID]*quotaHistory
 }
 
 var _ emulator.Truth = (*truth)(nil)
 
-// backlogHistory is a ring of the latest samples of an endpoint's backlog.
+// backlogHistory is a ring buffer of the latest samples of an endpoint's backlog.
 type backlogHistory struct {
 	samples [backlogSamples]time.Duration
-	count   int // of all samples ever
+	count   int // samples since the start of the recording, overwritten ones included
 }
 
-// quotaHistory is what a customer had left after each of its latest uses.
+// quotaHistory holds the units that a customer had left after each of its latest uses of the quota.
 type quotaHistory struct{ samples []quotaSample }
 
 type quotaSample struct {
@@ -47,7 +49,7 @@
 
 func (t *truth) addEndpoint() { t.backlogs = append(t.backlogs, backlogHistory{}) }
 
-// Backlog implements emulator.Truth. Ages beyond the history are as old as it.
+// Backlog implements emulator.Truth. An age beyond the recorded history returns the oldest sample.
 func (t *truth) Backlog(id policy.EndpointID, age time.Duration) time.Duration {
 	e := t.world.endpoint(id)
 	if e == nil {
@@ -64,7 +66,7 @@
 	return history.samples[(history.count-1-samplesBack)%backlogSamples]
 }
 
-// startRecording begins to record, if that has not begun.
+// startRecording starts the recording of past states unless it has started already.
 func (t *truth) startRecording() {
 	if t.recording {
 		return
@@ -103,7 +105,7 @@
 	return planSpec.Burst
 }
 
-// recordQuota records what a customer has left after a use.
+// recordQuota records the units that a customer has left after a use of its quota.
 func (t *truth) recordQuota(customer policy.CustomerID, plan int) {
 	if !t.recording {
 		return
@@ -119,7 +121,8 @@
 	history.samples = append(history.samples, quotaSample{recordedAt: now, unitsLeft: unitsLeft})
 }
 
-// discardBefore drops the samples that no answer needs: all but the last one before the given time.
+// discardBefore removes the samples up to the given time, except the latest of them, which determines the quota at that
+// time.
 func (h *quotaHistory) discardBefore(oldest time.Duration) {
 	keepFrom := 0
 	for keepFrom+1 < len(h.samples) && h.samples[keepFrom+1].recordedAt <= oldest {
--- a/internal/emulator/virtual/watch.go
+++ b/internal/emulator/virtual/watch.go
@@ -7,16 +7,16 @@
 	"springfield/policy"
 )
 
-// How a gateway watches discovery, as internal/discovery does.
+// Durations of a gateway's watch of discovery, which model those of package internal/discovery.
 const (
-	// watchTimeout is after how long without a line a gateway gives a watch up.
+	// watchTimeout is how long a watch may be silent before the gateway closes it.
 	watchTimeout = 3500 * time.Millisecond
 
-	// maxReopenPause bounds the random pause before a watch is opened again.
+	// maxReopenPause is the upper bound of the random pause before a watch is opened again.
 	maxReopenPause = time.Second
 )
 
-// openWatch opens the gateway's watch in the place of the present one.
+// openWatch opens a watch of discovery and cancels the previous one.
 func (g *gateway) openWatch() {
 	if g.cancelWatch != nil {
 		g.cancelWatch()
@@ -35,7 +35,7 @@
 	})
 }
 
-// handleUpdate takes what discovery brings. A call that has failed is repeated after a pause.
+// handleUpdate handles an update from discovery. After a failed call, the gateway calls again after a pause.
 func (g *gateway) handleUpdate(kind policy.UpdateKind, _ uint64, list []policy.Endpoint) {
 	if !g.running {
 		return
@@ -47,7 +47,8 @@
 	g.updateEndpoints(kind, list)
 }
 
-// updateEndpoints applies an update of the endpoint list to the connections, and then tells the decider.
+// updateEndpoints applies an update of the endpoint list to the gateway's connections, and then passes it to the
+// decider.
 func (g *gateway) updateEndpoints(kind policy.UpdateKind, list []policy.Endpoint) {
 	if kind != policy.UpdateDelta {
 		g.removeAbsent(list)
@@ -58,8 +59,9 @@
 	g.decider.UpdateEndpoints(g.world.scheduler.Now(), kind, list)
 }
 
-// applyEntry takes an entry over. Without a change to what an unknown endpoint is taken for, ready for long, there is
-// nothing to be notified of.
+// applyEntry applies a list entry to the gateway's view of the endpoint. An endpoint that appears for the first time
+// counts as changed only if it is not ready or has a start time, because the gateway assumes of unknown endpoints that
+// they have been ready for long.
 func (g *gateway) applyEntry(entry *policy.Endpoint) {
 	view := g.view(entry.ID)
 	changed := view.state != entry.State || view.startedAt != entry.StartedAt
@@ -76,7 +78,7 @@
 	}
 }
 
-// removeAbsent takes the endpoints that a complete list does not name for removed.
+// removeAbsent marks the known endpoints that are missing in a complete list as removed.
 func (g *gateway) removeAbsent(list []policy.Endpoint) {
 	listed := make([]bool, len(g.world.endpoints)+1)
 	for i := range list {
@@ -90,7 +92,7 @@
 	}
 }
 
-// countAsNotified handles that changes count as notified although they have not arrived.
+// countAsNotified records that the gateway counts as notified of changes that are overdue and have not arrived.
 func (g *gateway) countAsNotified(list []policy.Endpoint) {
 	if !g.running {
 		return
@@ -110,7 +112,7 @@
 	})
 }
 
-// view returns what the gateway knows of an endpoint.
+// view returns the gateway's view of an endpoint, which is empty for an unknown endpoint.
 func (g *gateway) view(id policy.EndpointID) *endpointView {
 	if int(id) > len(g.views) {
 		views := make([]endpointView, max(int(id), len(g.world.endpoints)))
@@ -120,7 +122,7 @@
 	return &g.views[id-1]
 }
 
-// cachedList returns the list as the gateway knows it.
+// cachedList returns the endpoint list as the gateway knows it, without removed endpoints.
 func (g *gateway) cachedList() []policy.Endpoint {
 	var list []policy.Endpoint
 	for i := range g.views {
--- a/internal/emulator/virtual/world.go
+++ b/internal/emulator/virtual/world.go
@@ -9,7 +9,7 @@
 	"springfield/policy"
 )
 
-// world is a deployment on virtual time.
+// world holds the state of an emulated deployment on virtual time.
 type world struct {
 	scenario   *emulator.Scenario
 	seed       uint64
@@ -23,21 +23,23 @@
 	ledger    *model.Ledger
 	discovery *model.Discovery
 	truth     *truth
-	endpoints []*endpoint // by id, from 1: endpoints[0] is that of id 1
+	endpoints []*endpoint // endpoint IDs start at 1: endpoints[0] has ID 1
 	gateways  []*gateway
 
 	serverRandom  *rand.Rand
 	gatewayRandom *rand.Rand
 	attemptRandom *rand.Rand
 
-	partitionsByZone []int // by zone: partitions that cut it off from the others now
+	partitionsByZone []int // number of active partitions that isolate each zone
 	resetShare       float64
 	spoiltShare      float64
 
-	pendingRequests int // requests that the client has sent or will send, and that are not answered yet
-	requests        int64
-	attempts        int64
-	connections     int64
+	// pendingRequests counts the requests that clients have scheduled or sent and that have not ended. A retry continues
+	// its request.
+	pendingRequests int
+	requests        int64 // tries that arrived at gateways, client retries included
+	attempts        int64 // attempts sent to endpoints
+	connections     int64 // connections opened by gateways
 }
 
 func newWorld(options *Options) *world {
@@ -72,7 +74,7 @@
 	return w
 }
 
-// start makes the gateways ready and begins the load and the faults.
+// start starts the gateways with the current endpoint list, schedules the faults and begins the load.
 func (w *world) start() {
 	_, list := w.discovery.List()
 	for _, g := range w.gateways {
@@ -83,7 +85,8 @@
 	w.scheduleNextArrival()
 }
 
-// scheduleNextArrival schedules the next first try of a client, which schedules the one after it.
+// scheduleNextArrival schedules the first try of the next client request. Its submission schedules the request after
+// it.
 func (w *world) scheduleNextArrival() {
 	arrival, ok := w.workload.Next()
 	if !ok {
@@ -100,7 +103,7 @@
 	w.observer.Observe(w.scheduler.Now(), observation)
 }
 
-// reachable reports whether packets between a gateway and an endpoint arrive.
+// reachable reports whether no active partition separates a gateway from an endpoint.
 func (w *world) reachable(g *gateway, e *endpoint) bool {
 	if e.partitions > 0 {
 		return false
@@ -108,7 +111,7 @@
 	return g.zone == e.zone || w.partitionsByZone[g.zone] == 0 && w.partitionsByZone[e.zone] == 0
 }
 
-// longestDeadline is that of all classes.
+// longestDeadline returns the longest deadline of all request classes.
 func (w *world) longestDeadline() time.Duration {
 	var longest time.Duration
 	for i := range w.scenario.Classes {
--- a/internal/emulator/virtual/world_test.go
+++ b/internal/emulator/virtual/world_test.go
@@ -11,9 +11,9 @@
 	"springfield/policy"
 )
 
-// firstEndpointDecider is a decider that forwards each request to endpoint 1, once, and keeps what it is told.
+// firstEndpointDecider forwards each request once, to endpoint 1, and records the results of the attempts.
 type firstEndpointDecider struct {
-	emulator.Decider // of the policy, for what is not decided here
+	emulator.Decider // the policy's engine, which handles all other events
 	actions          policy.Actions
 	results          []policy.AttemptResult
 }
@@ -34,12 +34,12 @@
 // ClientDisconnected implements emulator.Decider.
 func (d *firstEndpointDecider) ClientDisconnected(time.Duration, policy.RequestID) {}
 
-// testWorld is a world without clients of its own, whose gateway 0 is watched.
+// testWorld is a world without a workload. A test submits requests at gateway 0, and all observations are recorded.
 type testWorld struct {
 	*world
-	decider      *firstEndpointDecider // of gateway 0
+	decider      *firstEndpointDecider // decider of gateway 0
 	observations []emulator.Observation
-	requests     int
+	requests     int // submitted by submitAt
 }
 
 // Observe implements emulator.Observer.
@@ -47,7 +47,7 @@
 	w.observations = append(w.observations, observation)
 }
 
-// newTestWorld starts a world. Without a decider all gateways forward to endpoint 1.
+// newTestWorld starts a world with its gateways. If newDecider is nil, all gateways forward to endpoint 1.
 func newTestWorld(newDecider emulator.NewDecider, configure func(*emulator.Scenario)) *testWorld {
 	w := &testWorld{}
 	scenario := model.DefaultScenario()
@@ -72,7 +72,7 @@
 	return w
 }
 
-// submitAt has a client send a request of 100 ms of work at gateway 0, a time after the start.
+// submitAt schedules the arrival of a client's request with 100 ms of work at gateway 0, at a time after the start.
 func (w *testWorld) submitAt(after time.Duration, modify func(*model.Arrival)) {
 	w.requests++
 	arrival := model.Arrival{
@@ -86,7 +86,7 @@
 	w.scheduler.After(after, func() { w.receiveRequest(arrival) })
 }
 
-// after runs the world up to a time after the start.
+// after runs the world until a time after the start.
 func (w *testWorld) after(passed time.Duration) { w.scheduler.RunUntil(StartTime + passed) }
 
 // observed returns the observations of one type.
@@ -108,6 +108,7 @@
 	return statuses
 }
 
+// A connection that is reused after its idle timeout, or not reused before it, would falsify the cost of handshakes.
 func TestIdleConnectionIsReusedUntilItsTimeout(t *testing.T) {
 	w := newTestWorld(nil, nil)
 	for _, after := range []time.Duration{0, time.Second, 40 * time.Second} {
@@ -119,20 +120,21 @@
 		opened = append(opened, o.NewConnection)
 	}
 	if !slices.Equal(opened, []bool{true, false, true}) || w.connections != 2 {
-		t.Errorf("new connections: %v, %d in all", opened, w.connections)
+		t.Errorf("got new connections %v, %d in all, want true, false, true, 2 in all", opened, w.connections)
 	}
 	network, endpoints := w.scenario.Network.Delay.Of(), w.scenario.Endpoints
 	extra := w.decider.results[0].Latency - w.decider.results[1].Latency
 	if extra < 2*network+endpoints.HandshakeDelay.Of() {
-		t.Errorf("the new connection cost only %v", extra)
+		t.Errorf("the new connection added only %v of latency", extra)
 	}
 	for _, answer := range observed[emulator.RequestAnswered](w) {
 		if answer.Answer != emulator.AnswerServed || !answer.Genuine {
-			t.Errorf("%+v", answer)
+			t.Errorf("got %+v, want a genuine served answer", answer)
 		}
 	}
 }
 
+// Two requests in flight at the same time must not share a connection.
 func TestConcurrentRequestsHaveConnectionsOfTheirOwn(t *testing.T) {
 	w := newTestWorld(nil, nil)
 	w.submitAt(0, nil)
@@ -143,6 +145,7 @@
 	}
 }
 
+// The dial of an endpoint behind a partition must fail after the dial timeout, and nothing may count as sent.
 func TestDialOfPartitionedEndpointTimesOut(t *testing.T) {
 	w := newTestWorld(nil, nil)
 	faultTarget{w.world}.CutEndpoint(1, true)
@@ -150,23 +153,25 @@
 	w.after(time.Second)
 	if !slices.Equal(w.statuses(), []policy.Status{policy.StatusConnectFailed}) ||
 		w.decider.results[0].Latency != w.scenario.Network.DialTimeout.Of() {
-		t.Errorf("%+v", w.decider.results)
+		t.Errorf("got results %+v, want a failed connect after the dial timeout", w.decider.results)
 	}
 	if sent := observed[emulator.AttemptForwarded](w); len(sent) != 0 {
-		t.Errorf("it was sent: %+v", sent)
+		t.Errorf("an attempt was sent: %+v", sent)
 	}
 }
 
+// An endpoint whose connection table is full must refuse a connection without affecting the existing one.
 func TestFullConnectionTableRefusesConnections(t *testing.T) {
 	w := newTestWorld(nil, func(s *emulator.Scenario) { s.Endpoints.MaxConnections = 1 })
 	w.submitAt(0, nil)
 	w.submitAt(0, nil)
 	w.after(time.Second)
 	if !slices.Equal(w.statuses(), []policy.Status{policy.StatusConnectFailed, policy.StatusOK}) {
-		t.Errorf("%+v", w.decider.results)
+		t.Errorf("got results %+v, want a failed connect and a success", w.decider.results)
 	}
 }
 
+// The endpoint starts to drain while a connection to it is being opened. The attempt must not be sent any more.
 func TestNothingIsSentToAnEndpointThatDrainsDuringTheHandshake(t *testing.T) {
 	w := newTestWorld(nil, func(s *emulator.Scenario) { s.Endpoints.HandshakeDelay = emulator.Duration(time.Second) })
 	w.submitAt(0, nil)
@@ -174,26 +179,29 @@
 	w.gateways[0].updateEndpoints(policy.UpdateDelta, []policy.Endpoint{{ID: 1, State: policy.StateDraining}})
 	w.after(2 * time.Second)
 	if !slices.Equal(w.statuses(), []policy.Status{policy.StatusNotSent}) {
-		t.Errorf("%+v", w.decider.results)
+		t.Errorf("got results %+v, want an attempt that was not sent", w.decider.results)
 	}
 	notified := observed[emulator.EndpointNotified](w)
 	if len(notified) != 1 || notified[0].State != policy.StateDraining {
-		t.Errorf("%+v", notified)
+		t.Errorf("got notifications %+v, want one of a draining endpoint", notified)
 	}
 }
 
+// The client disconnects while a connection to the endpoint is being opened. The attempt must not be sent any more.
 func TestNothingIsSentForAClientThatHasLeft(t *testing.T) {
 	w := newTestWorld(nil, func(s *emulator.Scenario) { s.Endpoints.HandshakeDelay = emulator.Duration(time.Second) })
 	w.submitAt(0, func(arrival *model.Arrival) { arrival.AbandonAt = StartTime + time.Second/2 })
 	w.after(2 * time.Second)
 	if sent := observed[emulator.AttemptForwarded](w); len(sent) != 0 {
-		t.Errorf("it was sent: %+v", sent)
+		t.Errorf("an attempt was sent: %+v", sent)
 	}
 	if len(observed[emulator.ClientDisconnected](w)) != 1 || len(observed[emulator.RequestAnswered](w)) != 0 {
-		t.Errorf("%+v", w.observations)
+		t.Errorf("got observations %+v, want a disconnected client and no answer", w.observations)
 	}
 }
 
+// An attempt at an endpoint that never answers ends at the deadline. It may have been executed, and its connection must
+// not be reused, because the answer may still arrive.
 func TestSilentEndpointTimesOutAtTheDeadline(t *testing.T) {
 	w := newTestWorld(nil, nil)
 	faultTarget{w.world}.SilenceEndpoint(1, true)
@@ -202,18 +210,19 @@
 	w.after(10 * time.Second)
 	if !slices.Equal(w.statuses(), []policy.Status{policy.StatusTimedOut, policy.StatusTimedOut}) ||
 		w.decider.results[0].Latency != 4*time.Second {
-		t.Errorf("%+v", w.decider.results)
+		t.Errorf("got results %+v, want two timeouts after 4s", w.decider.results)
 	}
 	if w.connections != 2 {
-		t.Errorf("a connection on which an answer may come was reused: %d were opened", w.connections)
+		t.Errorf("got %d connections, want 2, since an answer may still arrive on the first one", w.connections)
 	}
 	for _, ended := range observed[emulator.AttemptEnded](w) {
 		if !ended.Executed {
-			t.Errorf("it may have run: %+v", ended)
+			t.Errorf("the attempt may have been executed, but counts as not executed: %+v", ended)
 		}
 	}
 }
 
+// An attempt in flight at an endpoint that crashes must end with a reset instead of waiting for its deadline.
 func TestStoppedEndpointResetsItsConnections(t *testing.T) {
 	w := newTestWorld(nil, nil)
 	w.submitAt(0, nil)
@@ -221,26 +230,29 @@
 	faultTarget{w.world}.StopEndpoint(1)
 	w.after(time.Second)
 	if !slices.Equal(w.statuses(), []policy.Status{policy.StatusReset}) {
-		t.Errorf("%+v", w.decider.results)
+		t.Errorf("got results %+v, want a reset", w.decider.results)
 	}
 }
 
+// The gateway cannot parse a spoilt answer, so the attempt must end as if its connection had been reset.
 func TestSpoiltAnswerCountsAsReset(t *testing.T) {
 	w := newTestWorld(nil, nil)
 	faultTarget{w.world}.SpoilAnswers(1)
 	w.submitAt(0, nil)
 	w.after(time.Second)
 	if !slices.Equal(w.statuses(), []policy.Status{policy.StatusReset}) {
-		t.Errorf("%+v", w.decider.results)
+		t.Errorf("got results %+v, want a reset", w.decider.results)
 	}
 }
 
+// Requests that are open at a killed gateway, or arrive before the load balancer detects its end, remain without an
+// answer. Later requests must go to another gateway of the customer.
 func TestKilledGatewayLosesItsRequests(t *testing.T) {
 	w := newTestWorld(nil, nil)
 	w.submitAt(0, nil)
 	w.after(50 * time.Millisecond)
 	faultTarget{w.world}.KillGateway(0)
-	w.submitAt(60*time.Millisecond, nil) // the front has not noticed
+	w.submitAt(60*time.Millisecond, nil) // the load balancer has not detected the end of the gateway
 	w.submitAt(3*time.Second, func(arrival *model.Arrival) { arrival.SetSize = 2 })
 	w.after(4 * time.Second)
 	var answers []emulator.Answer
@@ -248,13 +260,14 @@
 		answers = append(answers, o.Answer)
 	}
 	if !slices.Equal(answers, []emulator.Answer{emulator.AnswerMissing, emulator.AnswerMissing, emulator.AnswerServed}) {
-		t.Errorf("answers: %v", answers)
+		t.Errorf("got answers %v, want missing, missing, served", answers)
 	}
 	if stopped := observed[emulator.GatewayStopped](w); len(stopped) != 1 || !stopped[0].Killed {
-		t.Errorf("%+v", stopped)
+		t.Errorf("got %+v, want one killed gateway", stopped)
 	}
 }
 
+// A gateway that shuts down must answer its open requests by the end of the drain, and a new process must take over.
 func TestGatewayRestartFailsOpenRequestsAndStartsNewProcess(t *testing.T) {
 	w := newTestWorld(PolicyDecider, func(s *emulator.Scenario) { s.Endpoints.Count = 1 })
 	faultTarget{w.world}.SilenceEndpoint(1, true)
@@ -266,41 +279,42 @@
 	w.after(10 * time.Second)
 	answered := observed[emulator.RequestAnswered](w)
 	if len(answered) != 1 || answered[0].Answer != emulator.AnswerFailed {
-		t.Errorf("%+v", answered)
+		t.Errorf("got answers %+v, want one failure", answered)
 	}
 	stopped, started := observed[emulator.GatewayStopped](w), observed[emulator.GatewayStarted](w)
 	if len(stopped) != 1 || stopped[0].Killed || len(started) != len(w.gateways)+1 {
-		t.Errorf("%+v %+v", stopped, started)
+		t.Errorf("got stops %+v and starts %+v, want one graceful restart", stopped, started)
 	}
 	if g := w.gateways[0]; !g.running || !g.inRotation || g.draining {
-		t.Errorf("the gateway has not come back: %+v", g)
+		t.Errorf("the gateway is not running and in rotation after the restart: %+v", g)
 	}
 }
 
+// The state that an oracle sees must be exactly as old as the oracle asks for.
 func TestTruthReportsStateOfGivenAge(t *testing.T) {
 	w := newTestWorld(nil, nil)
-	w.truth.Backlog(1, time.Second) // begins to record
+	w.truth.Backlog(1, time.Second) // starts the recording of past states
 	for range 20 {
 		w.submitAt(time.Second, nil)
 	}
 	w.after(1100 * time.Millisecond)
 	if now, before := w.truth.Backlog(1, 0), w.truth.Backlog(1, time.Second); now < 100*time.Millisecond || before != 0 {
-		t.Errorf("the backlog is %v, and was %v", now, before)
+		t.Errorf("the backlog is %v and was %v a second ago, want at least 100ms and 0", now, before)
 	}
 	burst := w.scenario.Plans[0].Burst
 	if now, before := w.truth.QuotaLeft(1, 0, 0), w.truth.QuotaLeft(1, 0, time.Second); now >= burst || before != burst {
-		t.Errorf("of the quota %v are left, and %v were", now, before)
+		t.Errorf("%v units are left and %v were a second ago, want fewer than the burst, and the burst", now, before)
 	}
 	w.after(2150 * time.Millisecond)
 	if before := w.truth.Backlog(1, time.Second); before < 100*time.Millisecond {
-		t.Errorf("the backlog was %v", before)
+		t.Errorf("the backlog was %v a second ago, want at least 100ms", before)
 	}
 	if before := w.truth.QuotaLeft(1, 0, time.Second); before >= burst {
-		t.Errorf("of the quota %v were left", before)
+		t.Errorf("%v units were left a second ago, want less than the burst", before)
 	}
 }
 
-// duplicatingActions is a planted fault: each attempt is made twice.
+// duplicatingActions is an injected fault: each attempt is made twice.
 type duplicatingActions struct{ policy.Actions }
 
 func (d duplicatingActions) Forward(id policy.RequestID, endpoint policy.EndpointID, until time.Duration) {
@@ -308,6 +322,7 @@
 	d.Actions.Forward(id, endpoint, until)
 }
 
+// A checker that does not detect two attempts of one request at the same time could not verify the policy.
 func TestCheckerDetectsDuplicatedAttempts(t *testing.T) {
 	scenario := model.DefaultScenario()
 	checker := invariant.NewChecker(&scenario)
@@ -322,6 +337,6 @@
 		t.Fatal(err)
 	}
 	if checker.Finish(StartTime + summary.VirtualTime).Kept() {
-		t.Error("two attempts at once went unnoticed")
+		t.Error("the checker did not detect two attempts at the same time")
 	}
 }
