--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline holds simple deciders that the policy is compared with, behind the same interface. They share how
-// they keep the rules on repeats, drains, slow start and final answers (decider.go), and differ in whom they admit and
-// which endpoint they choose.
+// Package baseline provides simple deciders to compare the policy with, behind the same interface. They share the code
+// that keeps the rules on retries, drains, slow start and final answers, and differ in admission and in the choice of
+// an endpoint.
 package baseline
 
 import (
@@ -11,10 +11,10 @@
 	"springfield/policy"
 )
 
-// lateOracleAge is how old the true state is that the late oracle sees.
+// lateOracleAge is the age of the true state that LateOracle sees.
 const lateOracleAge = time.Second
 
-// namedDecider is a decider with the name that experiment files use.
+// namedDecider is a baseline with its name in experiment files.
 type namedDecider struct {
 	name       string
 	newDecider emulator.NewDecider
@@ -36,7 +36,7 @@
 	return names
 }
 
-// ByName returns the baseline of that name.
+// ByName returns the constructor of the baseline with the given name, and whether there is one.
 func ByName(name string) (emulator.NewDecider, bool) {
 	i := slices.IndexFunc(baselines, func(baseline namedDecider) bool { return baseline.name == name })
 	if i < 0 {
@@ -45,7 +45,7 @@
 	return baselines[i].newDecider, true
 }
 
-// AdmitAll admits every request and picks an endpoint at random.
+// AdmitAll returns a decider that admits every request and picks an endpoint at random.
 func AdmitAll(cfg policy.Config, actions policy.Actions, _ emulator.Truth) emulator.Decider {
 	g := newBaseDecider(cfg, actions)
 	g.admit = func(time.Duration, *request) bool { return true }
@@ -55,8 +55,8 @@
 	return g
 }
 
-// EvenSplit grants each gateway an even part of a customer's quota, by a token bucket, and picks the less loaded of two
-// endpoints at random.
+// EvenSplit returns a decider that gives each gateway of a customer an equal part of the customer's quota, as a token
+// bucket. It picks the less loaded of two random endpoints.
 func EvenSplit(cfg policy.Config, actions policy.Actions, _ emulator.Truth) emulator.Decider {
 	g := newBaseDecider(cfg, actions)
 	split := newEvenSplit(&g.cfg)
@@ -65,13 +65,14 @@
 	return g
 }
 
-// LateOracle sees the true quotas and queues as they were a second ago. Of two random endpoints it picks the one that
-// was less loaded.
+// LateOracle returns a decider that sees the true quotas and backlogs as they were a second ago. Of two random
+// endpoints it picks the one that had the shorter backlog.
 func LateOracle(cfg policy.Config, actions policy.Actions, truth emulator.Truth) emulator.Decider {
 	return newOracle(cfg, actions, truth, lateOracleAge)
 }
 
-// InstantOracle sees the true quotas and queues. No real gateway can reach what it serves.
+// InstantOracle returns a decider that sees the present true quotas and backlogs. No real gateway can reach the service
+// that it provides.
 func InstantOracle(cfg policy.Config, actions policy.Actions, truth emulator.Truth) emulator.Decider {
 	return newOracle(cfg, actions, truth, 0)
 }
@@ -88,7 +89,8 @@
 	}
 	g.choose = func(_ *request, candidates []*endpoint) *endpoint {
 		if age > 0 {
-			// All gateways see the same late state: if each took the best, they would overload it together.
+			// All gateways see the same outdated state. If each of them picked the best endpoint, they would overload it
+			// together.
 			candidates = g.sampleTwo(candidates)
 		}
 		return leastBacklog(candidates, truth, age)
@@ -96,7 +98,8 @@
 	return g
 }
 
-// leastBacklog returns the endpoint that would begin a request first, of equal ones the one with less in flight.
+// leastBacklog returns the endpoint with the shortest backlog. Of equal ones it returns the one with fewer attempts of
+// this gateway in flight.
 func leastBacklog(candidates []*endpoint, truth emulator.Truth, age time.Duration) *endpoint {
 	var best *endpoint
 	var shortest time.Duration
--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -9,6 +9,7 @@
 	"springfield/policy"
 )
 
+// AdmitAll must ignore quotas and use all endpoints about equally.
 func TestAdmitAllReachesAllEndpoints(t *testing.T) {
 	gateway := startGateway(AdmitAll, testConfig(), 4)
 	counts := map[policy.EndpointID]int{}
@@ -24,7 +25,8 @@
 	}
 }
 
-// Two gateways carry the customer: each grants half of its burst of 20 units and half of its rate of 10 a second.
+// The customer has two gateways. Each of them must admit half of the burst of 20 units and half of the rate of 10 units
+// a second.
 func TestEvenSplitGrantsOneGatewaysPartOfTheQuota(t *testing.T) {
 	gateway := startGateway(EvenSplit, testConfig(), 4)
 	for id := policy.RequestID(1); id <= 12; id++ {
@@ -36,7 +38,7 @@
 		gateway.submit(id, idempotentClass, quotaPlan, 1)
 	}
 	gateway.expect(t, "a second later", 15, 3, 0)
-	gateway.now += time.Hour // the bucket is not filled beyond its part
+	gateway.now += time.Hour // the bucket does not fill beyond half of the burst
 	for id := policy.RequestID(19); id <= 30; id++ {
 		gateway.submit(id, idempotentClass, quotaPlan, 1)
 	}
@@ -48,7 +50,8 @@
 	gateway.expect(t, "for other customers", 45, 5, 0)
 }
 
-// A customer of many gateways can send its largest request at one of them now and then.
+// A customer with many gateways must be able to send its largest request at one of them, although it exceeds the
+// gateway's part of the burst.
 func TestEvenSplitBucketHoldsTheLargestRequest(t *testing.T) {
 	gateway := startGateway(EvenSplit, testConfig(), 4)
 	submit := func(id policy.RequestID) {
@@ -58,16 +61,16 @@
 	submit(1)
 	submit(2)
 	gateway.expect(t, "at once", 1, 1, 0)
-	gateway.now += 40 * time.Second // at a hundredth of ten units a second
+	gateway.now += 40 * time.Second // the bucket fills at a hundredth of 10 units a second
 	submit(3)
 	gateway.expect(t, "later", 2, 1, 0)
 }
 
-// Of two endpoints of which one has all the load, the other one is chosen unless both draws miss it.
+// Of two endpoints the less loaded one is chosen unless both draws miss it, so that the load follows the weights.
 func TestEvenSplitPrefersTheLessLoaded(t *testing.T) {
 	for _, test := range []struct {
 		weights [2]float64
-		want    [2]int // in flight after 120 requests, about
+		want    [2]int // approximate attempts in flight after 120 requests
 	}{
 		{[2]float64{1, 1}, [2]int{60, 60}},
 		{[2]float64{2, 1}, [2]int{80, 40}},
@@ -90,6 +93,8 @@
 	}
 }
 
+// An oracle must admit by the true quota of its age, and over the quota only where such requests earn more than they
+// cost.
 func TestOraclesAdmitByTheTrueQuota(t *testing.T) {
 	for name, oracle := range map[string]struct {
 		newDecider emulator.NewDecider
@@ -106,14 +111,15 @@
 		gateway.submit(3, idempotentClass, quotaPlan, 1)
 		gateway.submit(4, idempotentClass, overQuotaPlan, 2)
 		gateway.submit(5, idempotentClass, unlimitedPlan, 2)
-		gateway.expect(t, name+" with enough, or where overuse earns", 4, 1, 0)
+		gateway.expect(t, name+" with enough quota, or where requests over quota earn value", 4, 1, 0)
 		if want := map[time.Duration]bool{oracle.age: true}; !maps.Equal(gateway.truth.ages, want) {
 			t.Errorf("%s: asked for ages %v, want %v", name, gateway.truth.ages, want)
 		}
 	}
 }
 
-// The instant oracle takes the shortest of all queues, the late one the shorter of two that it draws.
+// InstantOracle must pick the shortest backlog of all endpoints, and LateOracle the shorter one of two random
+// endpoints.
 func TestOraclesPreferShortQueues(t *testing.T) {
 	const requests, tolerance = 900, 50
 	for name, oracle := range map[string]struct {
@@ -139,7 +145,7 @@
 	}
 }
 
-// Where queues are equally long, the requests of a gateway are spread.
+// InstantOracle must distribute the requests of a gateway evenly over endpoints with equal backlogs.
 func TestOracleSpreadsOverEqualQueues(t *testing.T) {
 	gateway := startGateway(InstantOracle, testConfig(), 3)
 	counts := map[policy.EndpointID]int{}
@@ -148,6 +154,6 @@
 		counts[gateway.lastEndpoint()]++
 	}
 	if want := map[policy.EndpointID]int{1: 3, 2: 3, 3: 3}; !maps.Equal(counts, want) {
-		t.Errorf("got %v", counts)
+		t.Errorf("got %v requests by endpoint, want 3 at each", counts)
 	}
 }
--- a/internal/baseline/decider.go
+++ b/internal/baseline/decider.go
@@ -10,21 +10,22 @@
 	"springfield/policy"
 )
 
-// maxAttempts bounds the attempts of a request where the deployment does not.
+// maxAttempts is the upper bound of the attempts of a request. The configuration may set a lower one.
 const maxAttempts = 3
 
-// baseDecider is what all baselines share: it keeps the rules, and leaves admission and choice to two functions.
+// baseDecider implements what all baselines share. It keeps the rules, and delegates admission and the choice of an
+// endpoint to two functions.
 type baseDecider struct {
 	cfg       policy.Config
 	actions   policy.Actions
 	random    *rand.Rand
 	requests  map[policy.RequestID]*request
 	endpoints map[policy.EndpointID]*endpoint
-	list      []*endpoint // by id
+	list      []*endpoint // sorted by ID
 
 	// admit reports whether a new request is forwarded at all.
 	admit func(now time.Duration, r *request) bool
-	// choose picks one of the endpoints that the rules allow; there is at least one.
+	// choose picks one of the endpoints that the rules allow. There is at least one candidate.
 	choose func(r *request, candidates []*endpoint) *endpoint
 }
 
@@ -33,16 +34,16 @@
 	class              *policy.Class
 	deadline           time.Duration
 	attempts           int
-	inFlight           *endpoint // nil without an attempt
+	inFlight           *endpoint // endpoint of the attempt in flight; nil if there is none
 	sentAt             time.Duration
-	possiblyExecutedOn *endpoint // of the first attempt that may have been executed
-	possiblyExecutedAt time.Duration
-	disconnected       bool // the client is owed nothing any more; the attempt is still in flight
+	possiblyExecutedOn *endpoint     // endpoint of the first attempt that may have been executed; nil if there is none
+	possiblyExecutedAt time.Duration // when the first attempt that may have been executed was sent
+	disconnected       bool          // the client has disconnected, and the attempt is still in flight
 }
 
 type endpoint struct {
 	policy.Endpoint
-	inFlight int
+	inFlight int // attempts of this gateway
 }
 
 func newBaseDecider(cfg policy.Config, actions policy.Actions) *baseDecider {
@@ -115,8 +116,8 @@
 	g.actions.Forward(r.ID, ep.ID, r.deadline)
 }
 
-// candidates returns the endpoints that the rules allow. One in slow start is among them with the probability of the
-// share of its capacity that it has.
+// candidates returns the endpoints that the rules allow. An endpoint in slow start is included with a probability equal
+// to the share of its capacity that is available.
 func (g *baseDecider) candidates(now time.Duration, r *request) []*endpoint {
 	var allowed []*endpoint
 	for _, ep := range g.list {
@@ -130,7 +131,7 @@
 	return allowed
 }
 
-// capacityShare is the least share of its capacity that an endpoint has.
+// capacityShare returns the share of its full capacity that an endpoint has at least. It is below 1 during slow start.
 func (g *baseDecider) capacityShare(now time.Duration, ep *endpoint) float64 {
 	age := now - ep.StartedAt
 	if ep.StartedAt <= 0 || g.cfg.WarmUpDuration <= 0 || age >= g.cfg.WarmUpDuration {
@@ -140,7 +141,8 @@
 	return initial + (1-initial)*max(0, age.Seconds())/g.cfg.WarmUpDuration.Seconds()
 }
 
-// mayRetryOn keeps the rule on repeats.
+// mayRetryOn reports whether the request may be sent to an endpoint. If an earlier attempt may have been executed, this
+// depends on the idempotency of the class and on the scope and lifetime of the idempotency key.
 func (r *request) mayRetryOn(now time.Duration, ep *endpoint) bool {
 	if r.possiblyExecutedOn == nil || r.class.Idempotency == policy.Idempotent {
 		return true
@@ -185,7 +187,7 @@
 	}
 }
 
-// finish gives the final answer: a rejection while the client may safely retry, else a failure.
+// finish gives the final answer: a rejection if the client may safely retry, otherwise a failure.
 func (g *baseDecider) finish(r *request) {
 	delete(g.requests, r.ID)
 	if r.possiblyExecutedOn == nil || r.class.Idempotency == policy.Idempotent {
@@ -195,8 +197,8 @@
 	g.actions.Fail(r.ID)
 }
 
-// ClientDisconnected implements emulator.Decider. The attempt in flight, which every open request has, is a load on its
-// endpoint until its result comes.
+// ClientDisconnected implements emulator.Decider. Every open request has an attempt in flight, which counts as load on
+// its endpoint until its result arrives.
 func (g *baseDecider) ClientDisconnected(_ time.Duration, id policy.RequestID) {
 	r := g.requests[id]
 	if r == nil || r.disconnected {
@@ -208,7 +210,8 @@
 	}
 }
 
-// BeginShutdown implements emulator.Decider. The world bounds the attempts in flight; later retries end by answerBy.
+// BeginShutdown implements emulator.Decider. The emulator ends the attempts in flight by answerBy, and the new
+// deadlines do so for later retries.
 func (g *baseDecider) BeginShutdown(_, answerBy time.Duration) {
 	for _, r := range g.requests {
 		r.deadline = min(r.deadline, answerBy)
@@ -222,7 +225,8 @@
 	}
 }
 
-// lessLoadedOfTwo is the power of two choices: of two random endpoints the one with less in flight for its weight.
+// lessLoadedOfTwo implements the power of two choices: of two random endpoints it returns the one with fewer attempts
+// in flight relative to its weight.
 func (g *baseDecider) lessLoadedOfTwo(_ *request, candidates []*endpoint) *endpoint {
 	pair := g.sampleTwo(candidates)
 	if pair[1].loadPerWeight() < pair[0].loadPerWeight() {
@@ -231,7 +235,8 @@
 	return pair[0]
 }
 
-// loadPerWeight is what is in flight at an endpoint for its relative capacity, which counts as 1 where it is not known.
+// loadPerWeight returns the attempts in flight divided by the weight, which is the endpoint's relative capacity. An
+// unknown weight counts as 1.
 func (ep *endpoint) loadPerWeight() float64 {
 	if !(ep.Weight > 0) {
 		return float64(ep.inFlight)
@@ -239,7 +244,7 @@
 	return float64(ep.inFlight) / ep.Weight
 }
 
-// sampleTwo returns two random endpoints, perhaps the same one twice.
+// sampleTwo draws two random endpoints with replacement.
 func (g *baseDecider) sampleTwo(candidates []*endpoint) []*endpoint {
 	return []*endpoint{candidates[g.random.IntN(len(candidates))], candidates[g.random.IntN(len(candidates))]}
 }
--- a/internal/baseline/decider_test.go
+++ b/internal/baseline/decider_test.go
@@ -8,15 +8,17 @@
 	"springfield/policy"
 )
 
+// A misspelled name in an experiment file must not select a baseline.
 func TestUnknownNameIsNotFound(t *testing.T) {
 	if newDecider, ok := ByName("springfield"); ok || newDecider != nil {
-		t.Error("a baseline is found that there is not")
+		t.Error("a baseline was found for an unknown name")
 	}
 	if len(Names()) != 4 {
-		t.Errorf("names %q", Names())
+		t.Errorf("got names %q, want 4", Names())
 	}
 }
 
+// A request that is not idempotent must not be retried if its attempt may have been executed.
 func TestRetryDependsOnIdempotency(t *testing.T) {
 	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
 		for _, test := range []struct {
@@ -43,7 +45,8 @@
 	})
 }
 
-// A request that is deduplicated by its key goes to endpoints only that know the key, and while they do.
+// A request that is deduplicated by its key may be retried only at endpoints within the scope of the key, and only
+// until the key expires. Any other retry could execute it twice.
 func TestRetryStaysWithinScopeAndLifetimeOfItsKey(t *testing.T) {
 	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
 		for scope, group := range map[policy.KeyScope]func(id policy.EndpointID) policy.EndpointID{
@@ -69,12 +72,14 @@
 		gateway.submit(1, keyedClass, unlimitedPlan, 1)
 		gateway.now += 600 * time.Millisecond
 		gateway.finish(1, policy.StatusReset)
-		gateway.now += 400 * time.Millisecond // a second after the first attempt
+		gateway.now += 400 * time.Millisecond // one second after the first attempt, when the key expires
 		gateway.finish(1, policy.StatusReset)
-		gateway.expect(t, "once the key is forgotten", 2, 0, 1)
+		gateway.expect(t, "after the key has expired", 2, 0, 1)
 	})
 }
 
+// A rejection invites the client to retry, so it must not be the answer to a request that may have been executed,
+// unless the request is idempotent.
 func TestRejectionOnlyIfClientMaySafelyRetry(t *testing.T) {
 	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
 		for class, wantRejected := range map[int]int{idempotentClass: 1, keyedClass: 0, nonIdempotentClass: 0} {
@@ -89,10 +94,11 @@
 		for range 3 {
 			gateway.finish(1, policy.StatusConnectFailed)
 		}
-		gateway.expect(t, "after three attempts that have not run", 3, 1, 0)
+		gateway.expect(t, "after three attempts that were not executed", 3, 1, 0)
 	})
 }
 
+// Requests must go to ready endpoints only, also after partial updates, failed calls and complete lists.
 func TestOnlyReadyEndpointsGetRequests(t *testing.T) {
 	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
 		gateway := startGateway(newDecider, testConfig(), 4)
@@ -104,7 +110,7 @@
 			reached := map[policy.EndpointID]bool{}
 			for range 60 {
 				id++
-				gateway.submit(id, idempotentClass, unlimitedPlan, 1) // all stay in flight
+				gateway.submit(id, idempotentClass, unlimitedPlan, 1) // remains in flight
 				reached[gateway.lastEndpoint()] = true
 			}
 			if len(reached) != len(allowed) {
@@ -119,7 +125,7 @@
 		gateway.decider.UpdateEndpoints(gateway.now, policy.UpdateDelta, []policy.Endpoint{draining, removed})
 		expectAll("after a change", 3, 4)
 		if known := len(gateway.base().endpoints); known != 3 {
-			t.Errorf("%d endpoints are known after one of four was removed", known)
+			t.Errorf("%d endpoints are known after one of four was removed, want 3", known)
 		}
 		gateway.decider.UpdateEndpoints(gateway.now, policy.UpdateFailed, nil)
 		expectAll("after a failed call", 3, 4)
@@ -132,11 +138,11 @@
 	})
 }
 
-// An endpoint that warms up gets as much as it has of its capacity.
+// An endpoint in slow start must get requests in proportion to the share of its capacity that is available.
 func TestWarmingEndpointGetsItsShare(t *testing.T) {
 	gateway := startGateway(AdmitAll, testConfig(), 1)
 	warming := readyEndpoint(2)
-	warming.StartedAt = gateway.now - 2500*time.Millisecond // has 0.2 + 0.8/4 of its capacity
+	warming.StartedAt = gateway.now - 2500*time.Millisecond // the endpoint has 0.2 + 0.8/4 of its capacity
 	gateway.decider.UpdateEndpoints(gateway.now, policy.UpdateDelta, []policy.Endpoint{warming})
 	const requests = 4000
 	reached := 0
@@ -147,10 +153,11 @@
 		}
 	}
 	if share := float64(reached) / requests; share < 0.18 || share > 0.22 {
-		t.Errorf("gets a share of %v, want 0.4 of one half", share)
+		t.Errorf("the warming endpoint gets a share of %v, want 0.4 of one half", share)
 	}
 }
 
+// An endpoint whose warm-up has ended must not be left out at random.
 func TestWarmEndpointsAreAlwaysCandidates(t *testing.T) {
 	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
 		gateway := startGateway(newDecider, testConfig(), 1)
@@ -165,6 +172,7 @@
 	})
 }
 
+// Requests must not be retried beyond the limit on attempts or past the deadline of a shutdown.
 func TestAttemptsAndDeadlinesAreBounded(t *testing.T) {
 	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
 		for limit, want := range map[int]int{0: maxAttempts, 1: 1, 2: 2, 9: maxAttempts} {
@@ -177,7 +185,7 @@
 			}
 			gateway.expect(t, "with a limit on attempts", want, 1, 0)
 			if until := gateway.forwarded[0].until; until != gateway.now+2*time.Second {
-				t.Errorf("given up at %v", until)
+				t.Errorf("the attempt is given up at %v, want the deadline of the request", until)
 			}
 		}
 		gateway := startGateway(newDecider, testConfig(), 4)
@@ -189,6 +197,7 @@
 	})
 }
 
+// Requests with an unknown class or without time left must be rejected, while an unknown plan counts as unlimited.
 func TestInvalidRequestIsRejected(t *testing.T) {
 	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
 		gateway := startGateway(newDecider, testConfig(), 4)
@@ -202,6 +211,7 @@
 	})
 }
 
+// Requests beyond the limit on open requests must be rejected until another one has ended.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
 		cfg := testConfig()
@@ -217,7 +227,7 @@
 	})
 }
 
-// What a client that has disconnected has in flight is a load until it ends, and nothing follows it.
+// The attempt of a disconnected client must count as load until it ends, and no retry or answer may follow it.
 func TestDisconnectedRequestIsNeitherRetriedNorAnswered(t *testing.T) {
 	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
 		for _, canCancel := range []bool{true, false} {
@@ -233,13 +243,13 @@
 			}
 			endpoint := gateway.base().endpoints[1]
 			if endpoint.inFlight != 1 {
-				t.Errorf("%d in flight before the attempt has ended", endpoint.inFlight)
+				t.Errorf("got %d attempts in flight before the attempt has ended, want 1", endpoint.inFlight)
 			}
 			gateway.finish(1, policy.StatusReset)
 			gateway.finish(1, policy.StatusReset)
 			gateway.expect(t, "disconnected", 1, 0, 0)
 			if endpoint.inFlight != 0 || len(gateway.base().requests) != 0 {
-				t.Errorf("%d in flight, %d requests", endpoint.inFlight, len(gateway.base().requests))
+				t.Errorf("after the end: %d in flight and %d requests, want none", endpoint.inFlight, len(gateway.base().requests))
 			}
 		}
 	})
@@ -247,6 +257,7 @@
 
 func (r *fakeGateway) base() *baseDecider { return r.decider.(*baseDecider) }
 
+// With polled discovery, the watch must be opened again after a failed call.
 func TestPolledEndpointsAreWatched(t *testing.T) {
 	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
 		cfg := testConfig()
@@ -254,11 +265,11 @@
 		gateway := startGateway(newDecider, cfg, 1)
 		gateway.decider.UpdateEndpoints(gateway.now, policy.UpdateFailed, nil)
 		if gateway.watches != 1 || len(gateway.timers) != 1 {
-			t.Fatalf("%d watches, timers %v", gateway.watches, gateway.timers)
+			t.Fatalf("got %d watches and timers %v after a failed call, want one of each", gateway.watches, gateway.timers)
 		}
 		gateway.decider.TimerFired(gateway.now, gateway.timers[0])
 		if gateway.watches != 2 {
-			t.Errorf("%d watches after the timer", gateway.watches)
+			t.Errorf("got %d watches after the timer, want 2", gateway.watches)
 		}
 	})
 }
--- a/internal/baseline/even_split.go
+++ b/internal/baseline/even_split.go
@@ -6,7 +6,7 @@
 	"springfield/policy"
 )
 
-// evenSplit is a token bucket for each customer, with an even part of its quota.
+// evenSplit admits requests by token buckets: one for each customer, with this gateway's equal part of the quota.
 type evenSplit struct {
 	cfg       *policy.Config
 	customers map[policy.CustomerID]*tokenBucket
@@ -22,8 +22,9 @@
 	return &evenSplit{cfg: cfg, customers: map[policy.CustomerID]*tokenBucket{}}
 }
 
-// admit charges a request to its customer's bucket. A bucket holds the largest request at least, or a customer of many
-// gateways could never send one.
+// admit charges a request to its customer's bucket, and reports whether the bucket held enough units. The capacity of a
+// bucket is at least the size of the largest request; otherwise a customer with many gateways could never send such a
+// request.
 func (s *evenSplit) admit(now time.Duration, r *request) bool {
 	if r.Plan < 0 || r.Plan >= len(s.cfg.Plans) || s.cfg.Plans[r.Plan].QuotaRate <= 0 {
 		return true
--- a/internal/baseline/harness_test.go
+++ b/internal/baseline/harness_test.go
@@ -15,7 +15,7 @@
 	nonIdempotentClass = 2
 
 	quotaPlan     = 0
-	overQuotaPlan = 1 // use over quota earns more than it costs
+	overQuotaPlan = 1 // requests over quota earn more than they cost
 	unlimitedPlan = 2
 	unknownPlan   = 9
 )
@@ -42,7 +42,7 @@
 	}
 }
 
-// fakeTruth is a true state that a test sets. It records the ages that it is asked for.
+// fakeTruth is an emulator.Truth whose values a test sets. It records the ages that it is asked for.
 type fakeTruth struct {
 	backlogs  map[policy.EndpointID]time.Duration
 	quotaLeft float64
@@ -53,17 +53,19 @@
 	return &fakeTruth{backlogs: map[policy.EndpointID]time.Duration{}, quotaLeft: 1e6, ages: map[time.Duration]bool{}}
 }
 
+// Backlog implements emulator.Truth.
 func (f *fakeTruth) Backlog(endpoint policy.EndpointID, age time.Duration) time.Duration {
 	f.ages[age] = true
 	return f.backlogs[endpoint]
 }
 
+// QuotaLeft implements emulator.Truth.
 func (f *fakeTruth) QuotaLeft(_ policy.CustomerID, _ int, age time.Duration) float64 {
 	f.ages[age] = true
 	return f.quotaLeft
 }
 
-// fakeGateway is a gateway around a decider. It records the decisions.
+// fakeGateway drives a decider and records its decisions.
 type fakeGateway struct {
 	decider   emulator.Decider
 	truth     *fakeTruth
@@ -82,7 +84,7 @@
 	until    time.Duration
 }
 
-// startGateway returns a gateway with warm endpoints 1 to count, of zones 0 and 1 in turn.
+// startGateway returns a gateway with a started decider and warm endpoints 1 to count, in zones 0 and 1 alternately.
 func startGateway(newDecider emulator.NewDecider, cfg policy.Config, count int) *fakeGateway {
 	r := &fakeGateway{truth: newFakeTruth(), now: time.Hour}
 	r.decider = newDecider(cfg, r, r.truth)
@@ -105,13 +107,13 @@
 	for _, name := range Names() {
 		newDecider, ok := ByName(name)
 		if !ok {
-			t.Fatalf("%q is not found", name)
+			t.Fatalf("the baseline %q was not found", name)
 		}
 		t.Run(name, func(t *testing.T) { test(t, newDecider) })
 	}
 }
 
-// submit submits a request that has two seconds left, of a customer that two gateways carry.
+// submit submits a request of a customer with two gateways. The request has two seconds left until its deadline.
 func (r *fakeGateway) submit(id policy.RequestID, class, plan int, units float64) {
 	r.decider.Submit(r.now, policy.Request{ID: id, Class: class, Plan: plan, Customer: policy.CustomerID(plan + 1),
 		TimeLeft: 2 * time.Second, Units: units, SetSize: 2})
@@ -129,7 +131,7 @@
 	r.decider.AttemptFinished(r.now, result)
 }
 
-// expect fails the test unless so many attempts, rejections and failures were recorded.
+// expect reports an error unless the given numbers of attempts, rejections and failures were recorded.
 func (r *fakeGateway) expect(t *testing.T, situation string, forwarded, rejected, failed int) {
 	t.Helper()
 	if len(r.forwarded) != forwarded || len(r.rejected) != rejected || len(r.failed) != failed {
--- a/internal/baseline/simulation_test.go
+++ b/internal/baseline/simulation_test.go
@@ -12,7 +12,7 @@
 	"springfield/internal/emulator/virtual"
 )
 
-// faults is a schedule that meets retries, drains, restarts of endpoints and shutdowns of gateways.
+// faults returns a fault schedule that causes retries, drains, restarts of endpoints and shutdowns of gateways.
 func faults() []emulator.Fault {
 	at := func(kind emulator.FaultKind, at, length time.Duration, share, factor float64) emulator.Fault {
 		return emulator.Fault{Kind: kind, At: emulator.Duration(at), Length: emulator.Duration(length), Share: share,
@@ -27,8 +27,8 @@
 	}
 }
 
-// Each baseline keeps the rules in a simulated day with faults, but for the quotas that some of them ignore. The
-// scenario has no ceilings.
+// Every baseline must keep the rules in a run with faults. The scenario has no ceilings, because some of the baselines
+// ignore quotas.
 func TestBaselinesKeepTheRules(t *testing.T) {
 	for _, name := range baseline.Names() {
 		t.Run(name, func(t *testing.T) {
@@ -48,10 +48,10 @@
 			}
 			report := checker.Finish(virtual.StartTime + summary.VirtualTime)
 			if !report.Kept() || report.Unlocated != 0 || report.Undecided != 0 {
-				t.Errorf("broken: %+v", report)
+				t.Errorf("rules were violated, or could not be checked: %+v", report)
 			}
 			if summary.Attempts <= summary.Requests/2 || report.Requests != summary.Requests {
-				t.Errorf("%+v, %d requests checked", summary, report.Requests)
+				t.Errorf("too few attempts, or requests unchecked: %+v, %d checked", summary, report.Requests)
 			}
 		})
 	}
