--- a/internal/measure/endpoints.go
+++ b/internal/measure/endpoints.go
@@ -8,7 +8,7 @@
 	"springfield/policy"
 )
 
-// endpointLoads gathers the load of each endpoint that anything was heard of.
+// endpointLoads collects the load of every endpoint that occurs in an observation.
 type endpointLoads struct {
 	start time.Duration
 	byID  map[policy.EndpointID]*endpointLoad
@@ -17,8 +17,8 @@
 type endpointLoad struct {
 	totals             EndpointLoad
 	up                 bool
-	receivedThisSecond int64 // attempts received in the present second
-	inFlight           int
+	receivedThisSecond int64         // attempts received in the current second
+	inFlight           int           // attempts that have been received and have not ended
 	changedAt          time.Duration // when inFlight last changed
 	inFlightIntegral   time.Duration // integral of inFlight over time
 }
@@ -49,7 +49,7 @@
 	load.totals.Stops++
 }
 
-// countAttempt counts an attempt whose end will not be seen.
+// countAttempt counts a received attempt, but not as in flight.
 func (e *endpointLoads) countAttempt(id policy.EndpointID) *endpointLoad {
 	load := e.load(id)
 	load.totals.Received++
@@ -77,7 +77,8 @@
 	l.changedAt = max(l.changedAt, now)
 }
 
-// endSecond returns how the attempts of the second that ends were spread over the endpoints that are up.
+// endSecond returns how the attempts of the current second are distributed over the endpoints that are up, and starts
+// to count those of the next second.
 func (e *endpointLoads) endSecond() Spread {
 	counts := make([]int64, 0, len(e.byID))
 	for _, load := range e.byID {
@@ -98,7 +99,7 @@
 	return Spread{Min: counts[0], Median: median, Max: counts[len(counts)-1]}
 }
 
-// results returns the load of all endpoints in the order of their ids.
+// results returns the load of all endpoints, sorted by ID.
 func (e *endpointLoads) results(end time.Duration) []EndpointLoad {
 	results := make([]EndpointLoad, 0, len(e.byID))
 	for _, id := range slices.Sorted(maps.Keys(e.byID)) {
--- a/internal/measure/group.go
+++ b/internal/measure/group.go
@@ -1,6 +1,6 @@
 package measure
 
-// group gathers the figures of the requests of a plan, of a class or of the whole run.
+// group accumulates the results of the requests of a plan, a class or the whole run.
 type group struct {
 	name          string
 	outcomeCounts [outcomeKinds]int64
@@ -31,7 +31,7 @@
 	v.OverQuotaTries++
 }
 
-// withShares returns the value with its derived figures.
+// withShares returns the value with its derived fields.
 func (v Value) withShares() Value {
 	v.Share = valueShare(v.Earned, v.Requested)
 	v.ShareInQuota = valueShare(v.EarnedInQuota, v.RequestedInQuota)
@@ -76,7 +76,7 @@
 	}
 }
 
-// valueShare is the part of a value that was earned. Where nothing was requested nothing is lost.
+// valueShare returns the share of the requested value that was earned, at most 1. It is 1 if nothing was requested.
 func valueShare(earned, requested float64) float64 {
 	if requested <= 0 {
 		return 1
@@ -84,6 +84,7 @@
 	return min(1, earned/requested)
 }
 
+// ratio returns part / whole, or 0 if whole is 0.
 func ratio(part, whole float64) float64 {
 	if whole == 0 {
 		return 0
--- a/internal/measure/latency.go
+++ b/internal/measure/latency.go
@@ -6,14 +6,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the histograms: latencies are recorded in microseconds, to three significant digits.
+// Range and precision of the histograms, which record latencies in microseconds with three significant digits.
 const (
 	shortestLatency    = time.Microsecond
 	longestLatency     = 10 * time.Minute
 	significantFigures = 3
 )
 
-// latencyHistogram records latencies. Those outside its bounds count as the bound.
+// latencyHistogram records latencies. A latency outside its range is recorded as the nearest bound of the range.
 type latencyHistogram struct {
 	histogram *hdrhistogram.Histogram
 }
@@ -27,7 +27,7 @@
 func (h latencyHistogram) record(latency time.Duration) {
 	bounded := min(max(latency, shortestLatency), longestLatency)
 	if err := h.histogram.RecordValue(bounded.Microseconds()); err != nil {
-		panic(err) // impossible: the value is within the bounds that the histogram was made with
+		panic(err) // unreachable: the value is within the range of the histogram
 	}
 }
 
--- a/internal/measure/load_recorder.go
+++ b/internal/measure/load_recorder.go
@@ -6,15 +6,15 @@
 	"springfield/internal/emulator"
 )
 
-// LoadRecorder is a Recorder that begins with the load, for runs whose gateways have to become ready first. What is
-// observed until then counts as observed at the begin of the load.
+// LoadRecorder is a Recorder whose run starts with the load. It is for runs in which gateways take time to become
+// ready: observations before the load are recorded as if made at the start of the load.
 type LoadRecorder struct {
 	scenario   *emulator.Scenario
-	recorder   *Recorder // nil until the load has begun
-	beforeLoad []emulator.Observation
+	recorder   *Recorder              // nil until the load has begun
+	beforeLoad []emulator.Observation // observations made before the load
 }
 
-// NewLoadRecorder returns a recorder that has heard of nothing.
+// NewLoadRecorder returns a recorder for a run of the scenario.
 func NewLoadRecorder(scenario *emulator.Scenario) *LoadRecorder {
 	return &LoadRecorder{scenario: scenario}
 }
@@ -31,7 +31,7 @@
 	l.recorder.Observe(at, observation)
 }
 
-// beginsLoad tells whether an observation is made only once the load has begun.
+// beginsLoad reports whether an observation can be made only after the load has begun.
 func beginsLoad(observation emulator.Observation) bool {
 	switch observation.(type) {
 	case emulator.RequestSubmitted, emulator.FaultChanged:
@@ -49,10 +49,11 @@
 	l.beforeLoad = nil
 }
 
-// Begun tells whether the load has begun.
+// Begun reports whether the load has begun.
 func (l *LoadRecorder) Begun() bool { return l.recorder != nil }
 
-// Result returns the figures of the run. A run without any load has begun when it ended. Call it once.
+// Result returns the results of the run. If no load was observed, the load counts as begun at the end of the run.
+// Result must be called only once.
 func (l *LoadRecorder) Result(end time.Duration) Result {
 	if l.recorder == nil {
 		l.begin(end)
--- a/internal/measure/outcome.go
+++ b/internal/measure/outcome.go
@@ -7,7 +7,7 @@
 	"springfield/policy"
 )
 
-// settleQuota corrects the quota once a try has got its first good response.
+// settleQuota corrects the charged units of a try to its true units at its first successful response.
 func (r *Recorder) settleQuota(t *try, o *emulator.AttemptEnded) {
 	if o.Status == policy.StatusOK && t.received && !t.succeeded {
 		t.succeeded = true
@@ -55,7 +55,8 @@
 	}
 }
 
-// served books the first genuine response to a request. Another one, to a later try, earns nothing.
+// served records the latency and the earned value of the first genuine response to a request. Responses to other tries
+// of the request earn nothing.
 func (r *Recorder) served(at time.Duration, t *try, kind outcomeKind) {
 	owner := t.request
 	if owner.outcomeKind == outcomeServed || owner.outcomeKind == outcomeLate {
@@ -80,7 +81,7 @@
 	if !open || t.ended {
 		return
 	}
-	if at >= t.deadline { // the client has waited as long as it would
+	if at >= t.deadline { // the client has waited until its deadline
 		r.timeline.current().Missing++
 		r.endTry(t, outcomeMissing)
 		return
@@ -96,7 +97,7 @@
 	r.removeIfDone(t)
 }
 
-// expireRequests takes out the requests that expire by a time, which may lie after the present one.
+// expireRequests removes the requests that expire by the given time, which may be later than now.
 func (r *Recorder) expireRequests(by, now time.Duration) {
 	for class := range r.open.byClass {
 		for {
@@ -109,8 +110,8 @@
 	}
 }
 
-// expire ends what is open of a request. What was not answered is missing, and an attempt that no one has seen the
-// end of counts as ended.
+// expire ends the open tries of a request. A try without an answer counts as missing, and an attempt whose end was not
+// observed counts as ended.
 func (r *Recorder) expire(at time.Duration, expired *request) {
 	for _, t := range expired.openTries {
 		if !t.ended {
--- a/internal/measure/quota.go
+++ b/internal/measure/quota.go
@@ -9,7 +9,8 @@
 	"springfield/policy"
 )
 
-// quota tells of each try whether it is inside the quota of its customer, by the true state of the whole deployment.
+// quota determines for each try whether it is inside the quota of its customer, from the true state of the whole
+// deployment.
 type quota struct {
 	settled bool
 	ledger  *model.Ledger
@@ -19,12 +20,13 @@
 	return &quota{settled: scenario.Meter.Settled, ledger: model.NewLedger(scenario.Plans)}
 }
 
-// charge charges a try whose first attempt has reached an endpoint, and tells whether it is inside the quota.
+// charge charges a try whose first attempt has reached an endpoint, and reports whether it is inside the quota.
 func (q *quota) charge(now time.Duration, t *try) bool {
 	return q.ledger.Take(now, t.request.customer, t.request.plan, t.units)
 }
 
-// settle corrects a try inside the quota by the true units, which its first good response tells.
+// settle corrects the charge of a try inside the quota to the true units, which are known after the first successful
+// response.
 func (q *quota) settle(t *try) {
 	if q.settled && t.inQuota {
 		q.ledger.Settle(t.request.customer, t.request.plan, t.trueUnits-t.units)
@@ -35,12 +37,13 @@
 
 func (q *quota) attemptEnded(owner *request) { q.ledger.EndAttempt(owner.customer, owner.plan) }
 
-// singleGateway is the gateway that sees all first tries. It admits what is inside the quotas and executes each
-// request at once for the mean work of its class, so that what it admits does not depend on the gateways of the run.
+// singleGateway is a hypothetical gateway that sees all first tries. It admits the requests that are inside the quotas
+// and executes each of them immediately for the mean work of its class, so that the admitted requests do not depend on
+// the gateways of the run.
 type singleGateway struct {
 	scenario       *emulator.Scenario
 	ledger         *model.Ledger
-	executingUntil map[policy.CustomerID][]time.Duration // until when a customer's admitted requests are executed
+	executingUntil map[policy.CustomerID][]time.Duration // when the execution of each admitted request of a customer ends
 }
 
 func newSingleGateway(scenario *emulator.Scenario) *singleGateway {
@@ -51,7 +54,7 @@
 	}
 }
 
-// admits tells whether the first try of a request is inside the quota of its customer.
+// admits reports whether the first try of a request is inside the quota of its customer.
 func (g *singleGateway) admits(now time.Duration, submitted *emulator.RequestSubmitted) bool {
 	customer, plan := submitted.Customer, submitted.Plan
 	if g.scenario.Plans[plan].MaxConcurrent <= 0 {
--- a/internal/measure/recorder.go
+++ b/internal/measure/recorder.go
@@ -7,12 +7,12 @@
 	"springfield/policy"
 )
 
-// Recorder observes a run and makes its Result. Besides the result it holds only the requests whose last deadline has
-// not passed, and the quotas of the customers. It is not safe for concurrent use.
+// Recorder observes a run and computes its Result. It stores only the accumulated results, the requests whose last
+// deadline has not passed, and the quotas of the customers. It is not safe for concurrent use.
 type Recorder struct {
 	scenario  *emulator.Scenario
 	start     time.Duration
-	lastEvent time.Duration // of a request or an attempt
+	lastEvent time.Duration // time of the latest event of a request or an attempt
 
 	open      openRequests
 	quota     *quota
@@ -31,7 +31,7 @@
 
 var _ emulator.Observer = (*Recorder)(nil)
 
-// NewRecorder returns a recorder of a run of the scenario whose load begins at start.
+// NewRecorder returns a recorder for a run of the scenario whose load begins at start.
 func NewRecorder(scenario *emulator.Scenario, start time.Duration) *Recorder {
 	recorder := &Recorder{
 		scenario:  scenario,
@@ -129,7 +129,7 @@
 	return opened
 }
 
-// forEachGroup calls a function for the groups that a request belongs to.
+// forEachGroup calls update for the groups that a request belongs to: the whole run, its plan and its class.
 func (r *Recorder) forEachGroup(owner *request, update func(*group)) {
 	update(&r.overall)
 	update(&r.plans[owner.plan])
@@ -172,7 +172,7 @@
 	r.endpoints.attemptReceived(at, o.Endpoint)
 }
 
-// chargeQuota books a try whose first attempt has reached an endpoint.
+// chargeQuota charges a try whose first attempt has reached an endpoint, and records the use inside or over the quota.
 func (r *Recorder) chargeQuota(at time.Duration, t *try, trueUnits float64) {
 	t.received = true
 	t.trueUnits = trueUnits
--- a/internal/measure/recorder_test.go
+++ b/internal/measure/recorder_test.go
@@ -58,7 +58,7 @@
 	})
 }
 
-// forward sends the attempt of a try, which reaches its endpoint a millisecond later.
+// forward records the observations of an attempt that reaches its endpoint a millisecond after it was sent.
 func (r testRun) forward(milliseconds int, key emulator.RequestKey, number int) {
 	r.at(milliseconds, emulator.AttemptForwarded{
 		Request: key, Attempt: number, Endpoint: testEndpoint, NewConnection: number == 0,
@@ -80,7 +80,7 @@
 	return r.Result(testStart + time.Duration(milliseconds)*time.Millisecond)
 }
 
-// serve plays a whole request that is served after 50 ms.
+// serve records the observations of a request that is served after 50 ms.
 func (r testRun) serve(milliseconds int, key emulator.RequestKey, units float64) {
 	r.submit(milliseconds, key, key, units)
 	r.forward(milliseconds, key, 0)
@@ -95,10 +95,11 @@
 	}
 }
 
+// A request over the quota must earn only the plan's share of its value, and must count with its cost.
 func TestOverQuotaRequestEarnsReducedValue(t *testing.T) {
 	run := newTestRun(testScenario())
-	run.serve(0, 1, 3)   // takes the whole burst
-	run.serve(100, 2, 2) // over the quota
+	run.serve(0, 1, 3)   // uses the whole burst
+	run.serve(100, 2, 2) // exceeds the quota
 	result := run.finish(2000)
 	wantNear(t, "requested in quota", result.Value.RequestedInQuota, 60)
 	wantNear(t, "requested", result.Value.Requested, 60+0.25*40)
@@ -116,6 +117,7 @@
 	}
 }
 
+// A try that never reaches an endpoint must leave the quota to later requests.
 func TestRejectedTryTakesNoUnits(t *testing.T) {
 	run := newTestRun(testScenario())
 	run.submit(0, 1, 1, 3)
@@ -123,12 +125,13 @@
 	run.serve(10, 2, 3)
 	result := run.finish(2000)
 	wantNear(t, "earned in quota", result.Value.EarnedInQuota, 60)
-	wantNear(t, "requested in quota", result.Value.RequestedInQuota, 60) // a single gateway would have admitted the first
+	wantNear(t, "requested in quota", result.Value.RequestedInQuota, 60) // a single gateway admits the first one too
 	if result.Requests.Rejected.Count != 1 || result.Requests.Served.Count != 1 {
 		t.Errorf("got outcomes %+v, want one served and one rejected", result.Requests)
 	}
 }
 
+// A retry must count neither as a request of its own nor as the start of the latency.
 func TestRetryBelongsToItsFirstTry(t *testing.T) {
 	run := newTestRun(testScenario())
 	run.submit(0, 1, 1, 1)
@@ -148,6 +151,7 @@
 	}
 }
 
+// Two tries of one request that are both served must not earn its value twice.
 func TestRequestIsServedOnce(t *testing.T) {
 	run := newTestRun(testScenario())
 	run.submit(0, 1, 1, 1)
@@ -164,6 +168,7 @@
 	}
 }
 
+// Responses after the latency objective, or with content that no endpoint made, must not earn value.
 func TestLateAndSpoiltResponsesEarnNothing(t *testing.T) {
 	run := newTestRun(testScenario())
 	run.submit(0, 1, 1, 1)
@@ -179,14 +184,16 @@
 	}
 }
 
+// Requests without an answer by their deadline must count as missing and leave the memory. Only a client that goes
+// before its deadline counts as disconnected.
 func TestUnansweredRequestsCountAsMissing(t *testing.T) {
 	run := newTestRun(testScenario())
 	run.submit(0, 1, 1, 1)
 	run.submit(0, 2, 2, 1)
 	run.submit(0, 3, 3, 1)
 	run.at(300, emulator.ClientDisconnected{Request: 2})
-	run.at(1000, emulator.ClientDisconnected{Request: 3}) // at its deadline
-	run.submit(9000, 4, 4, 1)                             // lets the first one expire
+	run.at(1000, emulator.ClientDisconnected{Request: 3}) // disconnects at its deadline
+	run.submit(9000, 4, 4, 1)                             // expires the earlier requests
 	if len(run.open.requests) != 1 || len(run.open.tries) != 1 {
 		t.Errorf("got %d requests and %d tries in memory, want 1", len(run.open.requests), len(run.open.tries))
 	}
@@ -199,6 +206,7 @@
 	}
 }
 
+// An attempt in flight reaches its endpoint although the client has disconnected, so that it must still use the quota.
 func TestAttemptOfADisconnectedClientTakesUnits(t *testing.T) {
 	run := newTestRun(testScenario())
 	run.submit(0, 1, 1, 3)
@@ -215,6 +223,7 @@
 	}
 }
 
+// A try beyond the limit on concurrent attempts is over the quota, and settled units must be returned to the quota.
 func TestQuotaAppliesConcurrencyLimitAndSettlement(t *testing.T) {
 	scenario := testScenario()
 	scenario.Plans[0].MaxConcurrent = 1
@@ -223,8 +232,8 @@
 	run.submit(0, 1, 1, 3)
 	run.submit(0, 2, 2, 0.5)
 	run.forward(0, 1, 0)
-	run.forward(1, 2, 0) // a second attempt in flight: over the limit
-	run.end(20, 1, 0)    // the true unit is 1: two are given back
+	run.forward(1, 2, 0) // a second attempt in flight is over the limit of 1
+	run.end(20, 1, 0)    // the true size is 1 unit, so that 2 units are returned
 	run.end(20, 2, 0)
 	run.serve(30, 3, 2)
 	result := run.finish(3000)
@@ -233,6 +242,8 @@
 	}
 }
 
+// Retries and concurrent attempts must show in the counts of attempts, in the load of their endpoint and in the
+// distribution over the endpoints.
 func TestEndpointLoadAndAttemptsAreCounted(t *testing.T) {
 	run := newTestRun(testScenario())
 	run.at(0, emulator.EndpointStarted{Endpoint: 2, Warming: true})
@@ -260,6 +271,8 @@
 	}
 }
 
+// A fault that does not end is active until the end of the run. An unanswered request must lower the ratio of its
+// window.
 func TestFaultSpansAndWorstWindowAreReported(t *testing.T) {
 	run := newTestRun(testScenario())
 	fault := emulator.Fault{Kind: emulator.FaultSlowEndpoints, Share: 0.5}
@@ -284,6 +297,7 @@
 	}
 }
 
+// The result of a run without requests must not contain NaN or infinite numbers, which JSON cannot encode.
 func TestEmptyRunEncodesAsJSON(t *testing.T) {
 	result := newTestRun(testScenario()).finish(0)
 	if _, err := json.Marshal(result); err != nil {
--- a/internal/measure/request.go
+++ b/internal/measure/request.go
@@ -8,22 +8,22 @@
 	"springfield/policy"
 )
 
-// expiryGrace is how long after its last deadline a request is kept, so that an answer that is barely late, or an
-// attempt that ends after it, still finds it.
+// expiryGrace is how long a request is kept after its last deadline, so that a slightly late answer or the end of an
+// attempt is still attributed to it.
 const expiryGrace = time.Second
 
 // outcomeKind is how a request or a try has ended.
 type outcomeKind uint8
 
 const (
-	outcomeMissing outcomeKind = iota // not answered, at least not yet
+	outcomeMissing outcomeKind = iota // not answered, or not yet
 	outcomeServed
 	outcomeLate
 	outcomeSpoilt
 	outcomeRejected
 	outcomeFailed
 	outcomeDisconnected
-	outcomeKinds
+	outcomeKinds // number of kinds
 )
 
 // request is a client's first try with its retries. It is kept until its last deadline has passed.
@@ -35,11 +35,11 @@
 	submitted   time.Duration
 	expiresAt   time.Duration
 	value       float64
-	outcomeKind outcomeKind // the best that its tries have come to, or else the last
+	outcomeKind outcomeKind // that of the served try if there is one, otherwise that of the try that ended last
 	openTries   []*try
 }
 
-// recordOutcome takes in the end of one of the tries. A served request stays served.
+// recordOutcome updates the outcome of the request when one of its tries ends. A served request remains served.
 func (r *request) recordOutcome(kind outcomeKind) {
 	if r.outcomeKind != outcomeServed && r.outcomeKind != outcomeLate {
 		r.outcomeKind = kind
@@ -51,24 +51,24 @@
 	key       emulator.RequestKey
 	request   *request
 	deadline  time.Duration
-	units     float64 // the guess
-	trueUnits float64 // known once received
-	received  bool    // an attempt has reached an endpoint, and has taken the units
-	inQuota   bool    // known once received
+	units     float64 // estimate that the request carries
+	trueUnits float64 // true size, once an attempt has been received; before that, units
+	received  bool    // an attempt has reached an endpoint and has taken the units
+	inQuota   bool    // the units were inside the quota; set once an attempt has been received
 	forwarded bool    // an attempt has been sent
 	pending   int     // attempts that were sent and have not ended
-	succeeded bool    // an attempt has got a good response
-	ended     bool    // the client has its answer or has gone
+	succeeded bool    // an attempt has had a successful response
+	ended     bool    // the client has its answer or has disconnected
 	inFlight  []attempt
 }
 
-// attempt is one that has reached its endpoint and not ended.
+// attempt is an attempt that has reached its endpoint and has not ended.
 type attempt struct {
 	number   int
 	endpoint policy.EndpointID
 }
 
-// removeAttempt takes an attempt off the list of those in flight, and tells whether it was on it.
+// removeAttempt removes an attempt from those in flight, and reports whether it was one of them.
 func (t *try) removeAttempt(number int) bool {
 	index := slices.IndexFunc(t.inFlight, func(a attempt) bool { return a.number == number })
 	if index < 0 {
@@ -82,7 +82,7 @@
 type openRequests struct {
 	requests map[emulator.RequestKey]*request
 	tries    map[emulator.RequestKey]*try
-	byClass  [][]*request // in order of expiry, since the requests of a class live equally long
+	byClass  [][]*request // in order of expiry, because all requests of a class are kept equally long
 }
 
 func newOpenRequests(classes int) openRequests {
@@ -109,14 +109,14 @@
 	t.request.openTries = slices.DeleteFunc(open, func(other *try) bool { return other == t })
 }
 
-// popExpired takes out a request of the class that expires by a time, if there is one.
+// popExpired removes and returns the oldest request of a class if it expires by the given time.
 func (o *openRequests) popExpired(class int, by time.Duration) (*request, bool) {
 	queue := o.byClass[class]
 	if len(queue) == 0 || queue[0].expiresAt > by {
 		return nil, false
 	}
 	oldest := queue[0]
-	queue[0] = nil // frees it
+	queue[0] = nil // allows the request to be garbage-collected
 	o.byClass[class] = queue[1:]
 	delete(o.requests, oldest.key)
 	return oldest, true
--- a/internal/measure/summary.go
+++ b/internal/measure/summary.go
@@ -8,7 +8,7 @@
 	"springfield/internal/emulator"
 )
 
-// activeFault is a fault that has begun and not ended.
+// activeFault is a fault that has begun and has not ended.
 type activeFault struct {
 	fault     emulator.Fault
 	spanIndex int // index in Recorder.faults
@@ -37,8 +37,8 @@
 
 func (r *Recorder) sinceStart(at time.Duration) float64 { return (at - r.start).Seconds() }
 
-// Result ends all requests that are still open and returns the figures of the run, which has ended at the given time.
-// The recorder is of no more use after it.
+// Result ends all open requests and returns the results of the run, which has ended at the given time. The recorder
+// must not be used afterwards.
 func (r *Recorder) Result(end time.Duration) Result {
 	end = max(end, r.lastEvent)
 	r.timeline.advance(end, &r.endpoints)
@@ -72,7 +72,7 @@
 	return result
 }
 
-// trimTimeline drops the seconds after the last event of a request, but none of the load.
+// trimTimeline removes the seconds after the last event of a request or an attempt, but none of the load.
 func (r *Recorder) trimTimeline() {
 	seconds := math.Ceil(max(r.scenario.Length.Of().Seconds(), r.sinceStart(r.lastEvent)))
 	r.timeline.seconds = r.timeline.seconds[:min(len(r.timeline.seconds), max(1, int(seconds)))]
--- a/internal/measure/timeline.go
+++ b/internal/measure/timeline.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// worstWindowSeconds is the length of the window that Service.WorstTenSeconds looks for.
+// worstWindowSeconds is the length of the windows of Service.WorstTenSeconds.
 const worstWindowSeconds = 10
 
-// timeline gathers the seconds of a run. What happens before its begin counts in its first second.
+// timeline collects the results of each second of a run. Events before its start count in the first second.
 type timeline struct {
 	start   time.Duration
 	plans   int
 	seconds []Second
-	latency latencyHistogram // of the last of the seconds
+	latency latencyHistogram // latencies of the current second
 }
 
 func newTimeline(start time.Duration, plans int) timeline {
@@ -22,12 +22,12 @@
 	return t
 }
 
-// beginSecond adds a second.
+// beginSecond appends a new second.
 func (t *timeline) beginSecond() {
 	t.seconds = append(t.seconds, Second{Second: len(t.seconds), Plans: make([]PlanSecond, t.plans)})
 }
 
-// advance ends all seconds that are over.
+// advance ends all seconds that have passed and begins the current one.
 func (t *timeline) advance(now time.Duration, endpoints *endpointLoads) {
 	for now >= t.start+time.Duration(len(t.seconds))*time.Second {
 		t.endSecond(endpoints)
@@ -42,17 +42,17 @@
 	t.latency.reset()
 }
 
-// current returns the second that is under way.
+// current returns the current second.
 func (t *timeline) current() *Second { return &t.seconds[len(t.seconds)-1] }
 
-// at returns the second of a time, or the nearest one.
+// at returns the second in which a time lies, or the nearest one.
 func (t *timeline) at(when time.Duration) *Second {
 	index := int((when - t.start) / time.Second)
 	return &t.seconds[min(max(0, index), len(t.seconds)-1)]
 }
 
-// worstWindow returns the lowest share of value earned over value requested in any window of the first seconds, which
-// are the seconds of the load. A shorter load is one window.
+// worstWindow returns the lowest ratio of earned value to requested value in any window of worstWindowSeconds. The
+// seconds are those of the load. A shorter load is a single window.
 func worstWindow(seconds []Second) float64 {
 	length := min(worstWindowSeconds, len(seconds))
 	worst := math.Inf(1)
