--- a/internal/emulator/virtual/gateway.go
+++ b/internal/emulator/virtual/gateway.go
@@ -11,28 +11,31 @@
 	"springfield/policy"
 )
 
-// The life cycle of a gateway, as that of internal/gateway.
+// Durations of a gateway's shutdown and restart, which model those of package internal/gateway.
 const (
-	// drainDelay is how long a gateway accepts new connections after it was told to end.
+	// drainDelay is how long a gateway accepts new connections after the start of its shutdown.
 	drainDelay = 500 * time.Millisecond
 
-	// killNotBefore bounds how long requests may take in a drain.
-	killNotBefore = 3 * time.Second
+	// maxDrainDuration limits the time that open requests have to finish after drainDelay.
+	maxDrainDuration = 3 * time.Second
 
-	// exitMargin is for the last answers to reach their clients.
+	// exitMargin is how long a process waits after the answer deadline of its shutdown, so that the last answers reach
+	// their clients.
 	exitMargin = 100 * time.Millisecond
 
-	// frontDrainDelay is how long the front goes on to bring new requests to a gateway that was told to end.
+	// frontDrainDelay is how long the load balancer in front of the gateways sends new requests to a gateway after the
+	// start of its shutdown.
 	frontDrainDelay = 300 * time.Millisecond
 
-	// drainPollInterval is how often a drain looks whether the last request has been answered.
+	// drainPollInterval is the time between two checks whether a draining gateway has answered its last request.
 	drainPollInterval = 10 * time.Millisecond
 
-	// restartDelay is how long a new process takes until it is ready.
+	// restartDelay is how long a new gateway process takes to become ready.
 	restartDelay = 500 * time.Millisecond
 )
 
-// gateway is one gateway of the fleet: a decider and what carries its decisions out.
+// gateway models one gateway of the fleet: its decider, and the requests and connections with which it carries out
+// decisions.
 type gateway struct {
 	world  *world
 	number int
@@ -40,15 +43,15 @@
 	config policy.Config
 
 	decider     emulator.Decider
-	incarnation int  // of the process
-	running     bool // the process is
-	admitted    bool // the front brings new requests
-	answerBy    time.Duration
+	incarnation int           // number of the process, increased at each start
+	running     bool          // the process has started and not ended
+	inRotation  bool          // the load balancer in front of the gateways sends new requests to this one
+	answerBy    time.Duration // when all answers are due in a shutdown
 	draining    bool
-	calls       map[policy.RequestID]*call // open ones
+	requests    map[policy.RequestID]*request // open requests
 	lastID      policy.RequestID
 
-	views       []endpointView // by endpoint id, from 1
+	views       []endpointView // the entry at index i belongs to the endpoint with ID i + 1
 	cancelWatch func()
 }
 
@@ -62,15 +65,15 @@
 	}
 }
 
-// start starts the gateway's process with the endpoint list in its configuration, and makes it ready.
+// start starts the gateway's process with a configured endpoint list and makes it ready.
 func (g *gateway) start(list []policy.Endpoint) {
 	if g.running {
 		return
 	}
 	w := g.world
 	g.incarnation++
-	g.running, g.admitted, g.draining, g.answerBy = true, true, false, 0
-	g.calls, g.views = map[policy.RequestID]*call{}, nil
+	g.running, g.inRotation, g.draining, g.answerBy = true, true, false, 0
+	g.requests, g.views = map[policy.RequestID]*request{}, nil
 	config := g.config
 	config.Seed = w.gatewayRandom.Uint64()
 	g.decider = w.newDecider(config, actions{g}, w.truth)
@@ -80,41 +83,41 @@
 	g.openWatch()
 }
 
-// submit passes a new request to the decider.
-func (g *gateway) submit(c *call) {
+// submit registers a new request and passes it to the decider.
+func (g *gateway) submit(r *request) {
 	now := g.world.scheduler.Now()
 	g.lastID++
-	c.id, c.incarnation, c.open = g.lastID, g.incarnation, true
+	r.id, r.incarnation, r.open = g.lastID, g.incarnation, true
 	if g.draining {
-		c.deadline = min(c.deadline, g.answerBy)
+		r.deadline = min(r.deadline, g.answerBy)
 	}
-	g.calls[c.id] = c
+	g.requests[r.id] = r
 	g.decider.Submit(now, policy.Request{
-		ID:       c.id,
-		Class:    c.arrival.Class,
-		Plan:     c.arrival.Plan,
-		Customer: c.arrival.Customer,
-		TimeLeft: c.deadline - now,
-		Units:    c.arrival.Units,
-		SetSize:  c.arrival.SetSize,
-		SetFirst: c.arrival.SetFirst,
+		ID:       r.id,
+		Class:    r.arrival.Class,
+		Plan:     r.arrival.Plan,
+		Customer: r.arrival.Customer,
+		TimeLeft: r.deadline - now,
+		Units:    r.arrival.Units,
+		SetSize:  r.arrival.SetSize,
+		SetFirst: r.arrival.SetFirst,
 	})
 }
 
-// closeCall forgets a request that is owed nothing any more.
-func (g *gateway) closeCall(c *call) {
-	c.open = false
-	delete(g.calls, c.id)
+// closeRequest removes a request that needs no further answer.
+func (g *gateway) closeRequest(r *request) {
+	r.open = false
+	delete(g.requests, r.id)
 }
 
-// kill ends the process at once, as a crash does.
+// kill ends the process immediately, as a crash does.
 func (g *gateway) kill() {
 	if g.running {
 		g.stop(true)
 	}
 }
 
-// restart shuts the process down gracefully and starts another one.
+// restart shuts the process down gracefully and then starts a new one.
 func (g *gateway) restart() {
 	if !g.running || g.draining {
 		return
@@ -122,30 +125,31 @@
 	w := g.world
 	now, incarnation := w.scheduler.Now(), g.incarnation
 	g.draining = true
-	g.answerBy = now + drainDelay + min(w.longestDeadline(), killNotBefore)
+	g.answerBy = now + drainDelay + min(w.longestDeadline(), maxDrainDuration)
 	g.decider.BeginShutdown(now, g.answerBy)
-	for _, c := range g.openCalls() {
-		c.deadline = min(c.deadline, g.answerBy)
-		for _, a := range c.inFlight {
-			w.scheduler.After(c.deadline-now, func() { a.giveUp(policy.StatusTimedOut) })
+	for _, r := range g.openRequests() {
+		r.deadline = min(r.deadline, g.answerBy)
+		for _, a := range r.inFlight {
+			w.scheduler.After(r.deadline-now, func() { a.giveUp(policy.StatusTimedOut) })
 		}
 	}
 	w.scheduler.After(frontDrainDelay, func() {
 		if g.incarnation == incarnation {
-			g.admitted = false
+			g.inRotation = false
 		}
 	})
-	w.scheduler.After(drainDelay, func() { g.exitWhenDone(incarnation) })
+	w.scheduler.After(drainDelay, func() { g.exitWhenDrained(incarnation) })
 }
 
-// exitWhenDone ends a process that drains once all of its requests are answered, or when it may be killed.
-func (g *gateway) exitWhenDone(incarnation int) {
+// exitWhenDrained ends a draining process once all of its requests are answered, but at the latest exitMargin after
+// answerBy. A new process is ready after restartDelay.
+func (g *gateway) exitWhenDrained(incarnation int) {
 	if g.incarnation != incarnation || !g.running {
 		return
 	}
 	w := g.world
-	if len(g.calls) > 0 && w.scheduler.Now() < g.answerBy+exitMargin {
-		w.scheduler.After(drainPollInterval, func() { g.exitWhenDone(incarnation) })
+	if len(g.requests) > 0 && w.scheduler.Now() < g.answerBy+exitMargin {
+		w.scheduler.After(drainPollInterval, func() { g.exitWhenDrained(incarnation) })
 		return
 	}
 	list := g.cachedList()
@@ -153,24 +157,24 @@
 	w.scheduler.After(restartDelay, func() { g.start(list) })
 }
 
-// stop ends the process: its connections are reset, and what it held is gone.
+// stop ends the process: its connections are reset, and its open requests remain without an answer.
 func (g *gateway) stop(killed bool) {
 	w := g.world
 	g.running = false
 	w.observe(emulator.GatewayStopped{Gateway: g.number, Killed: killed})
 	g.cancelWatch()
-	for _, c := range g.openCalls() {
-		g.closeCall(c)
-		w.scheduler.After(w.network.Delay(), func() { c.answerClient(emulator.AnswerMissing, 0) })
-		for _, a := range c.inFlight {
+	for _, r := range g.openRequests() {
+		g.closeRequest(r)
+		w.scheduler.After(w.network.Delay(), func() { r.answerClient(emulator.AnswerMissing, 0) })
+		for _, a := range r.inFlight {
 			if !a.ended {
 				a.abandon(policy.StatusCancelled)
 			}
 		}
 	}
 	for _, e := range w.endpoints {
-		for _, a := range slices.Clone(e.active) { // attempts whose clients have gone
-			if a.call.gateway == g && !a.ended {
+		for _, a := range slices.Clone(e.active) { // These attempts are open although their clients have disconnected.
+			if a.request.gateway == g && !a.ended {
 				a.abandon(policy.StatusCancelled)
 			}
 		}
@@ -181,22 +185,22 @@
 	incarnation := g.incarnation
 	w.scheduler.After(w.scenario.Network.FrontDelay.AsDuration(), func() {
 		if g.incarnation == incarnation && !g.running {
-			g.admitted = false
+			g.inRotation = false
 		}
 	})
 }
 
-// openCalls returns the open requests in the order in which they came.
-func (g *gateway) openCalls() []*call {
-	open := make([]*call, 0, len(g.calls))
-	for _, id := range slices.Sorted(maps.Keys(g.calls)) {
-		open = append(open, g.calls[id])
+// openRequests returns the open requests in order of arrival.
+func (g *gateway) openRequests() []*request {
+	open := make([]*request, 0, len(g.requests))
+	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
+		open = append(open, g.requests[id])
 	}
 	return open
 }
 
-// actions carries out the decisions of a gateway's decider. It is called while the decider handles an event, so nothing
-// here calls the decider back at once.
+// actions carries out the decisions of a gateway's decider. The decider calls these methods while it handles an event,
+// so they must not call it back synchronously.
 type actions struct{ g *gateway }
 
 var _ policy.Actions = actions{}
@@ -204,48 +208,48 @@
 // Forward implements policy.Actions.
 func (x actions) Forward(id policy.RequestID, endpoint policy.EndpointID, until time.Duration) {
 	g := x.g
-	c := g.calls[id]
-	if c == nil {
+	r := g.requests[id]
+	if r == nil {
 		return
 	}
-	if until <= 0 || until > c.deadline {
-		until = c.deadline
+	if until <= 0 || until > r.deadline {
+		until = r.deadline
 	}
 	now := g.world.scheduler.Now()
 	a := &attempt{
-		call:        c,
+		request:     r,
 		endpoint:    g.world.endpoint(endpoint),
-		number:      c.attempts,
+		number:      r.attempts,
 		forwardedAt: now,
 		activeIndex: notActive,
 	}
-	c.attempts++
-	c.inFlight = append(c.inFlight, a)
+	r.attempts++
+	r.inFlight = append(r.inFlight, a)
 	g.world.scheduler.After(until-now, func() { a.giveUp(policy.StatusTimedOut) })
-	a.begin()
+	a.start()
 }
 
 // Reject implements policy.Actions.
 func (x actions) Reject(id policy.RequestID, retryAfter time.Duration) {
-	if c := x.g.calls[id]; c != nil {
-		c.answer(emulator.AnswerRejected, retryAfter)
+	if r := x.g.requests[id]; r != nil {
+		r.answer(emulator.AnswerRejected, retryAfter)
 	}
 }
 
 // Fail implements policy.Actions.
 func (x actions) Fail(id policy.RequestID) {
-	if c := x.g.calls[id]; c != nil {
-		c.answer(emulator.AnswerFailed, 0)
+	if r := x.g.requests[id]; r != nil {
+		r.answer(emulator.AnswerFailed, 0)
 	}
 }
 
 // CancelAttempt implements policy.Actions.
 func (x actions) CancelAttempt(id policy.RequestID, number int) {
-	c := x.g.calls[id]
-	if c == nil {
+	r := x.g.requests[id]
+	if r == nil {
 		return
 	}
-	for _, a := range c.inFlight {
+	for _, a := range r.inFlight {
 		if a.number == number {
 			x.g.world.scheduler.After(0, func() { a.giveUp(policy.StatusCancelled) })
 		}
@@ -262,5 +266,5 @@
 	})
 }
 
-// WatchEndpoints does nothing: as in a real gateway, discovery is always watched.
+// WatchEndpoints implements policy.Actions. It does nothing, because gateways watch discovery all the time.
 func (x actions) WatchEndpoints(bool) {}
--- a/internal/measure/group.go
+++ b/internal/measure/group.go
@@ -1,37 +1,37 @@
 package measure
 
-// group gathers the figures of the requests of a plan, of a class or of the whole run.
+// group accumulates the results of the requests of a plan, a class or the whole run.
 type group struct {
-	name    string
-	endings [endingKinds]int64
-	value   Value
-	latency latencyHistogram
+	name          string
+	outcomeCounts [outcomeKinds]int64
+	value         Value
+	latency       latencyHistogram
 }
 
 func newGroup(name string) group {
 	return group{name: name, latency: newLatencyHistogram()}
 }
 
-func (v *Value) requestInQuota(value float64) {
+func (v *Value) addRequestedInQuota(value float64) {
 	v.Requested += value
 	v.RequestedInQuota += value
 }
 
-func (v *Value) requestOverQuota(reduced float64) { v.Requested += reduced }
+func (v *Value) addRequestedOverQuota(reduced float64) { v.Requested += reduced }
 
-func (v *Value) earn(value float64, inQuota bool) {
+func (v *Value) addEarned(value float64, inQuota bool) {
 	v.Earned += value
 	if inQuota {
 		v.EarnedInQuota += value
 	}
 }
 
-func (v *Value) forwardOverQuota(cost float64) {
+func (v *Value) addOverQuotaCost(cost float64) {
 	v.OverQuotaCost += cost
 	v.OverQuotaTries++
 }
 
-// withShares returns the value with its derived figures.
+// withShares returns the value with its derived fields.
 func (v Value) withShares() Value {
 	v.Share = valueShare(v.Earned, v.Requested)
 	v.ShareInQuota = valueShare(v.EarnedInQuota, v.RequestedInQuota)
@@ -42,7 +42,7 @@
 func (g *group) result() Group {
 	return Group{
 		Name:     g.name,
-		Requests: outcomes(g.endings),
+		Requests: outcomes(g.outcomeCounts),
 		Value:    g.value.withShares(),
 		Latency:  g.latency.summary(),
 	}
@@ -56,9 +56,9 @@
 	return results
 }
 
-func outcomes(endings [endingKinds]int64) Outcomes {
+func outcomes(counts [outcomeKinds]int64) Outcomes {
 	total := int64(0)
-	for _, count := range endings {
+	for _, count := range counts {
 		total += count
 	}
 	outcome := func(count int64) Outcome {
@@ -66,17 +66,17 @@
 	}
 	return Outcomes{
 		Total:        total,
-		Served:       outcome(endings[endingServed] + endings[endingLate]),
-		Late:         outcome(endings[endingLate]),
-		Spoilt:       outcome(endings[endingSpoilt]),
-		Rejected:     outcome(endings[endingRejected]),
-		Failed:       outcome(endings[endingFailed]),
-		Missing:      outcome(endings[endingMissing]),
-		Disconnected: outcome(endings[endingDisconnected]),
+		Served:       outcome(counts[outcomeServed] + counts[outcomeLate]),
+		Late:         outcome(counts[outcomeLate]),
+		Spoilt:       outcome(counts[outcomeSpoilt]),
+		Rejected:     outcome(counts[outcomeRejected]),
+		Failed:       outcome(counts[outcomeFailed]),
+		Missing:      outcome(counts[outcomeMissing]),
+		Disconnected: outcome(counts[outcomeDisconnected]),
 	}
 }
 
-// valueShare is the part of a value that was earned. Where nothing was requested nothing is lost.
+// valueShare returns the share of the requested value that was earned, at most 1. It is 1 if nothing was requested.
 func valueShare(earned, requested float64) float64 {
 	if requested <= 0 {
 		return 1
@@ -84,6 +84,7 @@
 	return min(1, earned/requested)
 }
 
+// ratio returns part / whole, or 0 if whole is 0.
 func ratio(part, whole float64) float64 {
 	if whole == 0 {
 		return 0
--- a/internal/measure/load_recorder_test.go
+++ b/internal/measure/load_recorder_test.go
@@ -8,7 +8,9 @@
 	"springfield/internal/emulator/model"
 )
 
-func TestLoadRecorderBeginsWithTheLoad(t *testing.T) {
+// The time that gateways take to become ready must not count as a part of the run, but the observations made in it must
+// be kept.
+func TestLoadRecorderStartsTimelineWithTheLoad(t *testing.T) {
 	scenario := model.DefaultScenario()
 	recorder := NewLoadRecorder(&scenario)
 	start := time.Duration(time.Now().UnixNano())
