--- a/internal/emulator/loopback/agent.go
+++ b/internal/emulator/loopback/agent.go
@@ -13,11 +13,12 @@
 )
 
 const (
-	// migratedAfter is how long after SIGHUP a gateway counts as notified of what the new agent holds.
-	migratedAfter = 4 * time.Second
+	// moveNotificationDelay is how long after SIGHUP a gateway counts as notified of what the new agent holds.
+	moveNotificationDelay = 4 * time.Second
 
-	// silenceNotifiedAfter is how long after its watch has fallen silent a gateway counts as notified of what it misses.
-	silenceNotifiedAfter = 6 * time.Second
+	// silenceNotificationDelay is the time after a watch has fallen silent until its gateway counts as notified of the
+	// changes that the watch did not bring.
+	silenceNotificationDelay = 6 * time.Second
 
 	agentHeaderTimeout = 5 * time.Second
 )
@@ -39,8 +40,8 @@
 	address    string
 	server     *http.Server
 
-	deferUntil time.Duration     // until when the gateway does not count as notified of what it has not read
-	deferred   []policy.Endpoint // of which it then counts as notified
+	deferUntil      time.Duration     // until when the gateway does not count as notified of what it has not read
+	deferredChanges []policy.Endpoint // of which it then counts as notified
 }
 
 // newAgent starts listening.
@@ -71,7 +72,7 @@
 		}),
 	}
 	a.server = server
-	a.world.running.Go(func() { _ = server.Serve(listener) }) // ends with http.ErrServerClosed
+	a.world.goroutines.Go(func() { _ = server.Serve(listener) }) // ends with http.ErrServerClosed
 	return nil
 }
 
@@ -92,7 +93,7 @@
 		}
 	}
 	a.version = version
-	a.wake()
+	a.wakeCalls()
 	for _, w := range a.watches {
 		w.deliver(policy.UpdateDelta, version, changes)
 	}
@@ -120,10 +121,10 @@
 func (a *agent) notify(changes []policy.Endpoint) {
 	now := a.world.scheduler.Now()
 	if now >= a.deferUntil {
-		a.world.notified(a.gateway, changes)
+		a.world.markNotified(a.gateway, changes)
 		return
 	}
-	a.deferred = append(a.deferred, changes...)
+	a.deferredChanges = append(a.deferredChanges, changes...)
 	a.world.scheduler.After(a.deferUntil-now, func() {
 		if a.world.scheduler.Now() >= a.deferUntil {
 			a.notifyDeferred()
@@ -133,9 +134,9 @@
 
 // notifyDeferred makes the gateway count as notified of all that the agent holds.
 func (a *agent) notifyDeferred() {
-	changes := a.deferred
-	a.deferUntil, a.deferred = 0, nil
-	a.world.notified(a.gateway, changes)
+	changes := a.deferredChanges
+	a.deferUntil, a.deferredChanges = 0, nil
+	a.world.markNotified(a.gateway, changes)
 }
 
 // silence makes the open watches bring nothing any more, not even an empty line.
@@ -143,7 +144,7 @@
 	for _, w := range a.watches {
 		w.silent = true
 	}
-	a.deferUntil = max(a.deferUntil, a.world.scheduler.Now()+silenceNotifiedAfter)
+	a.deferUntil = max(a.deferUntil, a.world.scheduler.Now()+silenceNotificationDelay)
 }
 
 // migrate moves the agent to a new address. The old one answers nothing any more.
@@ -155,26 +156,26 @@
 	for _, w := range a.watches {
 		w.silent = true
 	}
-	a.wake()
-	a.deferUntil = max(a.deferUntil, a.world.scheduler.Now()+migratedAfter)
-	a.world.scheduler.After(migratedAfter, func() { _ = old.Close() }) // its connections are of no use any more
+	a.wakeCalls()
+	a.deferUntil = max(a.deferUntil, a.world.scheduler.Now()+moveNotificationDelay)
+	a.world.scheduler.After(moveNotificationDelay, func() { _ = old.Close() }) // its connections are of no use any more
 	return nil
 }
 
-// wake lets the calls that wait look again.
-func (a *agent) wake() {
+// wakeCalls lets the calls that wait look again.
+func (a *agent) wakeCalls() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
 // close ends the listener and the connections. The calls have ended with the context of the world.
 func (a *agent) close() {
-	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), agentShutdownTimeout)
 	defer cancel()
 	if a.server.Shutdown(ctx) != nil {
 		_ = a.server.Close() // the listener and the connections end, whatever it returns
 	}
 }
 
-// closeTimeout bounds how long connections that carry no call keep a listener from closing.
-const closeTimeout = 200 * time.Millisecond
+// agentShutdownTimeout bounds how long connections that carry no call keep a listener from closing.
+const agentShutdownTimeout = 200 * time.Millisecond
--- a/internal/emulator/loopback/attempt.go
+++ b/internal/emulator/loopback/attempt.go
@@ -17,40 +17,41 @@
 	number   int
 	conn     *upstreamConnection
 	answered chan<- struct{} // closed when the answer has been written
-	giveUpAt time.Duration   // when the gateway gives it up, by its Req-Deadline
+	deadline time.Duration   // when the gateway gives it up, by its Req-Deadline
 
 	submitted bool // the endpoint has got it complete
 	rejected  bool // the endpoint does not execute it
 	ended     bool
 }
 
-// identify returns the request of a client that an attempt carries, and the status of the response if there is none.
-func (w *World) identify(received receivedRequest) (*request, int) {
+// identifyRequest returns the client's request that an attempt carries. If the attempt carries none, the returned
+// status is that of the error response.
+func (w *World) identifyRequest(received receivedRequest) (*request, int) {
 	id := received.head.Header.Get(requestIDHeader)
 	if id == "" {
 		return nil, http.StatusNotFound
 	}
 	key, err := strconv.ParseUint(id, 16, 64)
-	sender := w.requests[emulator.RequestKey(key)]
-	if err != nil || sender == nil || !sender.message.carriedBy(received) {
+	clientRequest := w.requests[emulator.RequestKey(key)]
+	if err != nil || clientRequest == nil || !clientRequest.message.matches(received) {
 		w.summary.UnknownRequests++
 		w.logger.Error("an attempt carries no request of a client", "id", id, "path", received.head.URL.Path)
 		return nil, http.StatusBadRequest
 	}
-	return sender, http.StatusOK
+	return clientRequest, http.StatusOK
 }
 
 // beginAttempt observes an attempt that a gateway has sent.
-func (w *World) beginAttempt(sender *request, c *upstreamConnection, newConnection bool) *attempt {
-	w.endClosedAttempts(sender)
-	a := &attempt{request: sender, number: sender.attempts, conn: c}
-	sender.attempts++
-	sender.inFlight = append(sender.inFlight, a)
+func (w *World) beginAttempt(clientRequest *request, c *upstreamConnection, newConnection bool) *attempt {
+	w.endClosedAttempts(clientRequest)
+	a := &attempt{request: clientRequest, number: clientRequest.attempts, conn: c}
+	clientRequest.attempts++
+	clientRequest.inFlight = append(clientRequest.inFlight, a)
 	w.summary.Attempts++
 	w.observe(emulator.AttemptForwarded{
-		Request:       sender.arrival.Request,
+		Request:       clientRequest.arrival.Request,
 		Attempt:       a.number,
-		Gateway:       sender.arrival.Gateway,
+		Gateway:       clientRequest.arrival.Gateway,
 		Endpoint:      c.endpoint.id,
 		NewConnection: newConnection,
 	})
@@ -59,10 +60,10 @@
 
 // endClosedAttempts ends the attempts of a request whose connections the gateway has closed already, although their
 // goroutines have not noticed it yet: the next attempt is no second one at the same time.
-func (w *World) endClosedAttempts(sender *request) {
-	for _, earlier := range slices.Clone(sender.inFlight) {
+func (w *World) endClosedAttempts(clientRequest *request) {
+	for _, earlier := range slices.Clone(clientRequest.inFlight) {
 		if peerHasClosed(earlier.conn.conn) {
-			earlier.abandon()
+			earlier.endByClose()
 		}
 	}
 }
@@ -73,62 +74,62 @@
 		return
 	}
 	world, e := a.conn.endpoint.world, a.conn.endpoint
-	sender := &a.request.arrival
+	clientArrival := &a.request.arrival
 	world.observe(emulator.AttemptReceived{
-		Request:  sender.Request,
+		Request:  clientArrival.Request,
 		Attempt:  a.number,
 		Gateway:  a.request.arrival.Gateway,
 		Endpoint: e.id,
-		Units:    sender.TrueUnits,
+		Units:    clientArrival.TrueUnits,
 	})
 	if !a.request.metered {
 		a.request.metered = true
-		world.meter.Record(world.scheduler.Now(), sender.Customer, sender.TrueUnits)
+		world.meter.Record(world.scheduler.Now(), clientArrival.Customer, clientArrival.TrueUnits)
 	}
 	if !a.conn.admitted {
-		a.finish(model.JobRejected)
+		a.scheduleResponse(model.JobRejected)
 		return
 	}
 	a.submitted = true
 	e.server.Submit(model.Job{
-		Work:     sender.Work,
+		Work:     clientArrival.Work,
 		Gateway:  a.request.arrival.Gateway,
 		Informed: world.gateways[a.request.arrival.Gateway].knowsStart(e),
-		Done:     a.finish,
+		Done:     a.scheduleResponse,
 	})
 	if world.attemptRandom.Float64() < world.resetShare {
-		a.conn.reset()
+		a.conn.closeWithReset()
 	}
 }
 
-// finish has the answer of the endpoint sent.
-func (a *attempt) finish(result model.JobResult) {
+// scheduleResponse has the answer of the endpoint sent.
+func (a *attempt) scheduleResponse(result model.JobResult) {
 	a.rejected = result == model.JobRejected
 	world := a.conn.endpoint.world
-	world.scheduler.After(world.network.Delay(), func() { a.answer(result) })
+	world.scheduler.After(world.network.Delay(), func() { a.sendResponse(result) })
 }
 
-// answer writes the response, unless the attempt has ended. It counts as ended before the first byte is written,
+// sendResponse writes the response, unless the attempt has ended. It counts as ended before the first byte is written,
 // because the gateway may send another one right after the last.
-func (a *attempt) answer(result model.JobResult) {
+func (a *attempt) sendResponse(result model.JobResult) {
 	world := a.conn.endpoint.world
 	if a.ended {
 		return
 	}
 	if !world.reachable(a.request.arrival.Gateway, a.conn.endpoint) {
-		a.conn.cutOff = true
+		a.conn.lostByPartition = true
 		return
 	}
 	r := world.newResponse(a, result)
-	status := statusOf(result)
+	status := statusForResult(result)
 	if r.truncated {
 		status = policy.StatusReset
 	}
 	a.end(status)
-	a.conn.write(r, a.answered)
+	a.conn.writeResponse(r, a.answered)
 }
 
-func statusOf(result model.JobResult) policy.Status {
+func statusForResult(result model.JobResult) policy.Status {
 	switch result {
 	case model.JobServed:
 		return policy.StatusOK
@@ -139,17 +140,17 @@
 	}
 }
 
-// abandon ends an attempt whose connection the gateway has closed.
-func (a *attempt) abandon() {
+// endByClose ends an attempt whose connection the gateway has closed.
+func (a *attempt) endByClose() {
 	status := policy.StatusCancelled
-	if a.conn.endpoint.world.scheduler.Now() >= a.giveUpAt {
+	if a.conn.endpoint.world.scheduler.Now() >= a.deadline {
 		status = policy.StatusTimedOut
 	}
 	a.end(status)
 }
 
-// lose ends an attempt whose connection the endpoint's machine resets.
-func (a *attempt) lose() { a.end(policy.StatusReset) }
+// endByReset ends an attempt whose connection the endpoint's machine resets.
+func (a *attempt) endByReset() { a.end(policy.StatusReset) }
 
 func (a *attempt) end(status policy.Status) {
 	if a.ended {
--- a/internal/emulator/loopback/byte_faults.go
+++ b/internal/emulator/loopback/byte_faults.go
@@ -9,67 +9,67 @@
 
 // byteFault is what happens to the bytes of a response on their way.
 type byteFault struct {
-	kind byteFaultKind
-	at   float64 // the place of the fault, as a share of the bytes
+	kind     byteFaultKind
+	position float64 // the place of the fault, as a share of the bytes
 }
 
 type byteFaultKind uint8
 
 const (
-	bytesWhole     byteFaultKind = iota
-	bytesReset                   // the connection is reset after a part
-	bytesHalfClose               // the endpoint ends its sending after a part, and goes on to read
-	bytesStall                   // nothing comes for a while after a part
-	bytesDribble                 // a few bytes come at a time
-	bytesDoubled                 // the response comes twice
-	byteFaultKinds
+	byteFaultNone      byteFaultKind = iota
+	byteFaultReset                   // the connection is reset after a part
+	byteFaultHalfClose               // the endpoint ends its sending after a part, and goes on to read
+	byteFaultStall                   // nothing comes for a while after a part
+	byteFaultTrickle                 // a few bytes come at a time
+	byteFaultDuplicate               // the response comes twice
+	byteFaultKindCount
 )
 
 const (
-	byteStall       = 700 * time.Millisecond
-	dribbleBytes    = 7
-	dribbleInterval = 2 * time.Millisecond
+	stallDuration     = 700 * time.Millisecond
+	trickleChunkBytes = 7
+	trickleInterval   = 2 * time.Millisecond
 )
 
-// errCut says that a response was not written whole on purpose.
-var errCut = errors.New("the response is cut")
+// errTruncated says that a response was not written whole on purpose.
+var errTruncated = errors.New("the response is cut")
 
 // drawByteFault draws what happens to a response while SpoilBytes is in force.
 func (w *World) drawByteFault(random *rand.Rand) byteFault {
 	if random.Float64() >= w.byteFaultShare {
 		return byteFault{}
 	}
-	return byteFault{kind: byteFaultKind(1 + random.IntN(int(byteFaultKinds)-1)), at: random.Float64()}
+	return byteFault{kind: byteFaultKind(1 + random.IntN(int(byteFaultKindCount)-1)), position: random.Float64()}
 }
 
-// endsEarly reports whether the response does not arrive whole.
-func (f byteFault) endsEarly() bool { return f.kind == bytesReset || f.kind == bytesHalfClose }
+// truncates reports whether the response does not arrive whole.
+func (f byteFault) truncates() bool { return f.kind == byteFaultReset || f.kind == byteFaultHalfClose }
 
-// writeBytes writes an encoded response as its fault says.
-func (c *upstreamConnection) writeBytes(encoded []byte, fault byteFault) error {
-	place := int(fault.at * float64(len(encoded)))
+// writeWithFault writes an encoded response as its fault says.
+func (c *upstreamConnection) writeWithFault(encoded []byte, fault byteFault) error {
+	offset := int(fault.position * float64(len(encoded)))
 	switch fault.kind {
-	case bytesReset, bytesHalfClose:
-		_, _ = c.conn.Write(encoded[:place]) // it is cut off in any case
-		if tcp, ok := c.conn.(*net.TCPConn); ok && fault.kind == bytesHalfClose {
+	case byteFaultReset, byteFaultHalfClose:
+		_, _ = c.conn.Write(encoded[:offset]) // it is cut off in any case
+		if tcp, ok := c.conn.(*net.TCPConn); ok && fault.kind == byteFaultHalfClose {
 			_ = tcp.CloseWrite() // fails only once it is closed
-			c.endpoint.world.pause(byteStall)
-			return errCut
+			c.endpoint.world.sleep(stallDuration)
+			return errTruncated
 		}
-		reset(c.conn)
-		return errCut
-	case bytesStall:
-		if _, err := c.conn.Write(encoded[:place]); err != nil {
+		closeWithReset(c.conn)
+		return errTruncated
+	case byteFaultStall:
+		if _, err := c.conn.Write(encoded[:offset]); err != nil {
 			return err
 		}
-		if !c.endpoint.world.pause(byteStall) {
-			return errCut
+		if !c.endpoint.world.sleep(stallDuration) {
+			return errTruncated
 		}
-		_, err := c.conn.Write(encoded[place:])
+		_, err := c.conn.Write(encoded[offset:])
 		return err
-	case bytesDribble:
-		return c.dribble(encoded)
-	case bytesDoubled:
+	case byteFaultTrickle:
+		return c.writeTrickle(encoded)
+	case byteFaultDuplicate:
 		if _, err := c.conn.Write(encoded); err != nil {
 			return err
 		}
@@ -78,15 +78,15 @@
 	return err
 }
 
-func (c *upstreamConnection) dribble(encoded []byte) error {
+func (c *upstreamConnection) writeTrickle(encoded []byte) error {
 	for len(encoded) > 0 {
-		n := min(dribbleBytes, len(encoded))
+		n := min(trickleChunkBytes, len(encoded))
 		if _, err := c.conn.Write(encoded[:n]); err != nil {
 			return err
 		}
 		encoded = encoded[n:]
-		if !c.endpoint.world.pause(dribbleInterval) {
-			return errCut
+		if !c.endpoint.world.sleep(trickleInterval) {
+			return errTruncated
 		}
 	}
 	return nil
--- a/internal/emulator/loopback/client.go
+++ b/internal/emulator/loopback/client.go
@@ -22,9 +22,9 @@
 	// answerSlack is added to model.AnswerGrace: every time limit is 50 ms longer on sockets.
 	answerSlack = 50 * time.Millisecond
 
-	// drainConnections is how long after SIGTERM new connections of clients still arrive, and clients go on using those
+	// drainConnectTime is how long after SIGTERM new connections of clients still arrive, and clients go on using those
 	// that they have until these are closed.
-	drainConnections = 300 * time.Millisecond
+	drainConnectTime = 300 * time.Millisecond
 )
 
 // clientConnection is a connection of the clients to a gateway.
@@ -35,22 +35,22 @@
 	idleSince time.Duration // while it is kept
 }
 
-// exchangeFault is what kept an exchange from being one.
-type exchangeFault uint8
+// deliveryFault is what kept an exchange from being one.
+type deliveryFault uint8
 
 const (
-	faultNone         exchangeFault = iota
-	faultNoConnection               // the gateway takes no new connection
-	faultUnread                     // the gateway has closed a kept connection, as if it had not read the request
+	deliveryFaultNone         deliveryFault = iota
+	deliveryFaultNoConnection               // the gateway takes no new connection
+	deliveryFaultUnread                     // the gateway has closed a kept connection, as if it had not read the request
 )
 
 // outcome is how a client's exchange with a gateway ended.
 type outcome struct {
-	answer     emulator.Answer
-	body       string
-	retryAfter time.Duration
-	fault      exchangeFault
-	left       bool // the client has closed its connection, or sends elsewhere what the gateway has not read
+	answer       emulator.Answer
+	body         string
+	retryAfter   time.Duration
+	fault        deliveryFault
+	disconnected bool // the client has closed its connection, or sends elsewhere what the gateway has not read
 }
 
 // submit sends a try of a client, in the scheduler.
@@ -65,66 +65,67 @@
 // exchange sends a request to its gateway in a goroutine of its own.
 func (w *World) exchange(r *request) {
 	g := w.gateways[r.arrival.Gateway]
-	g.exchanges++
-	if w.clients >= maxClientConnections {
-		w.scheduler.After(0, func() { w.finish(r, outcome{answer: emulator.AnswerMissing}) })
+	g.openExchanges++
+	if w.clientConnections >= maxClientConnections {
+		w.scheduler.After(0, func() { w.finishRequest(r, outcome{answer: emulator.AnswerMissing}) })
 		return
 	}
-	w.clients++
+	w.clientConnections++
 	kept, process := g.takeIdle(), g.process
-	w.running.Go(func() {
-		result := w.converse(g, r, kept)
+	w.goroutines.Go(func() {
+		result := w.performExchange(g, r, kept)
 		w.scheduler.Do(func() {
-			w.clients--
-			if w.resend(g, process, r, &result) {
+			w.clientConnections--
+			if w.prepareResend(g, process, r, &result) {
 				g.exchangeEnded()
 				w.exchange(r)
 				return
 			}
-			w.finish(r, result)
+			w.finishRequest(r, result)
 		})
 	})
 }
 
-// resend reports whether a request is to be sent once more because it was not read: a kept connection was closed as it
-// came, or a gateway that shuts down takes no new connections. In the second case the front takes the request to
-// another gateway if it can; that a gateway has died it does not notice at once.
-func (w *World) resend(g *gateway, process *process, r *request, result *outcome) bool {
-	if result.fault == faultNone || r.attempts > 0 || w.scheduler.Now() >= r.arrival.Deadline {
+// prepareResend reports whether a request is to be sent once more because the gateway has not read it: the gateway
+// closed a kept connection as the request arrived, or it shuts down and accepts no new connections. In the second case
+// the load balancer in front of the gateways routes the request to another gateway if it can. The load balancer notices
+// a crash of a gateway only after a delay, so it does not reroute a request that a crash has lost.
+func (w *World) prepareResend(g *gateway, process *process, r *request, result *outcome) bool {
+	if result.fault == deliveryFaultNone || r.attempts > 0 || w.scheduler.Now() >= r.arrival.Deadline {
 		return false
 	}
-	if result.fault == faultUnread {
-		again := !r.resent && g.process == process && g.accepts()
-		r.resent = r.resent || again
-		result.left = !again && g.shutDown
-		return again
+	if result.fault == deliveryFaultUnread {
+		resend := !r.resent && g.process == process && g.acceptsConnections()
+		r.resent = r.resent || resend
+		result.disconnected = !resend && g.shutdownRequested
+		return resend
 	}
-	if r.observed || !g.shutDown {
-		result.left = r.resent && g.shutDown
+	if r.submissionObserved || !g.shutdownRequested {
+		result.disconnected = r.resent && g.shutdownRequested
 		return false
 	}
-	others := func(number int) bool { return number != g.index && w.gateways[number].takesRequests() }
-	r.arrival.Gateway = w.workload.Redirect(&r.arrival, others)
-	again := !r.resent && r.arrival.Gateway != g.index
+	otherAvailable := func(number int) bool { return number != g.index && w.gateways[number].takesRequests() }
+	r.arrival.Gateway = w.workload.Redirect(&r.arrival, otherAvailable)
+	resend := !r.resent && r.arrival.Gateway != g.index
 	r.resent = true
-	if !again {
+	if !resend {
 		r.arrival.Gateway = g.index
 	}
-	return again
+	return resend
 }
 
-// converse sends the request on a connection and reads the answer. The connection is kept if that is possible.
-func (w *World) converse(g *gateway, r *request, conn *clientConnection) outcome {
+// performExchange sends the request on a connection and reads the answer. The connection is kept if that is possible.
+func (w *World) performExchange(g *gateway, r *request, conn *clientConnection) outcome {
 	if conn == nil {
 		dialer := net.Dialer{Timeout: clientDialTimeout}
 		dialed, err := dialer.DialContext(w.ctx, "tcp4", g.address)
 		if err != nil {
-			return outcome{answer: emulator.AnswerMissing, fault: faultNoConnection}
+			return outcome{answer: emulator.AnswerMissing, fault: deliveryFaultNoConnection}
 		}
 		conn = &clientConnection{Conn: dialed, reader: bufio.NewReader(dialed)}
 	}
 	w.scheduler.Do(func() { w.observeSubmitted(r) })
-	stop := context.AfterFunc(w.ctx, func() { reset(conn.Conn) })
+	stop := context.AfterFunc(w.ctx, func() { closeWithReset(conn.Conn) })
 	defer stop()
 	response, body, err := conn.roundTrip(r)
 	if err != nil {
@@ -141,11 +142,11 @@
 
 // roundTrip writes a request and reads the response.
 func (c *clientConnection) roundTrip(r *request) (*http.Response, string, error) {
-	latest := r.arrival.Deadline + model.AnswerGrace + answerSlack
+	readDeadline := r.arrival.Deadline + model.AnswerGrace + answerSlack
 	if r.arrival.AbandonAt > 0 {
-		latest = min(latest, r.arrival.AbandonAt)
+		readDeadline = min(readDeadline, r.arrival.AbandonAt)
 	}
-	if err := c.SetDeadline(time.Unix(0, int64(latest))); err != nil {
+	if err := c.SetDeadline(time.Unix(0, int64(readDeadline))); err != nil {
 		return nil, "", err
 	}
 	wait := r.arrival.Deadline - time.Duration(time.Now().UnixNano())
@@ -167,14 +168,14 @@
 func (w *World) failedOutcome(r *request, conn *clientConnection, err error) outcome {
 	result := outcome{answer: emulator.AnswerMissing}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		result.left = r.arrival.AbandonAt > 0 && w.scheduler.Now() >= r.arrival.AbandonAt
-		if result.left {
+		result.disconnected = r.arrival.AbandonAt > 0 && w.scheduler.Now() >= r.arrival.AbandonAt
+		if result.disconnected {
 			w.scheduler.Do(func() { w.observeDisconnected(r) }) // before the connection is closed
 		}
 		return result
 	}
 	if conn.used && conn.reader.Buffered() == 0 {
-		result.fault = faultUnread
+		result.fault = deliveryFaultUnread
 	}
 	return result
 }
@@ -200,10 +201,10 @@
 
 // observeSubmitted observes once that a request comes to its gateway.
 func (w *World) observeSubmitted(r *request) {
-	if r.observed {
+	if r.submissionObserved {
 		return
 	}
-	r.observed = true
+	r.submissionObserved = true
 	w.observe(emulator.RequestSubmitted{
 		Request:  r.arrival.Request,
 		Original: r.arrival.Original,
@@ -216,33 +217,33 @@
 	})
 }
 
-// finish handles the final outcome of a try: the client may send another one.
-func (w *World) finish(r *request, result outcome) {
+// finishRequest handles the final outcome of a try: the client may send another one.
+func (w *World) finishRequest(r *request, result outcome) {
 	w.gateways[r.arrival.Gateway].exchangeEnded()
-	w.scheduler.After(rememberedFor, func() { delete(w.requests, r.arrival.Request) })
-	if !r.observed {
+	w.scheduler.After(requestRetention, func() { delete(w.requests, r.arrival.Request) })
+	if !r.submissionObserved {
 		w.summary.FailedDials++
 		w.observeSubmitted(r)
 	}
 	switch {
-	case !result.left:
+	case !result.disconnected:
 		w.observe(emulator.RequestAnswered{
 			Request: r.arrival.Request,
 			Gateway: r.arrival.Gateway,
 			Answer:  result.answer,
 			Genuine: result.answer == emulator.AnswerServed && slices.Contains(r.bodies, result.body),
 		})
-	case result.fault != faultNone:
+	case result.fault != deliveryFaultNone:
 		w.observeDisconnected(r)
 		result.answer = emulator.AnswerRejected // it was never read
 	default:
-		w.settle()
+		w.settleRequest()
 		return
 	}
 	now := w.scheduler.Now()
 	next, ok := w.workload.Retry(r.arrival, result.answer, result.retryAfter, now)
 	if !ok {
-		w.settle()
+		w.settleRequest()
 		return
 	}
 	w.scheduler.After(next.At-now, func() { w.submit(next) })
--- a/internal/emulator/loopback/connections.go
+++ b/internal/emulator/loopback/connections.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// reset closes a connection so that its peer gets a reset, not an end.
-func reset(conn net.Conn) {
+// closeWithReset closes a connection with a TCP reset instead of an orderly close.
+func closeWithReset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // fails on a closed connection
 	}
@@ -26,8 +26,8 @@
 	}
 	closed := false
 	err = raw.Control(func(fd uintptr) {
-		var next [1]byte
-		count, _, err := syscall.Recvfrom(int(fd), next[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var buffer [1]byte
+		count, _, err := syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		closed = err == nil && count == 0 || err != nil && err != syscall.EAGAIN && err != syscall.EINTR
 	})
 	return closed || err != nil
--- a/internal/emulator/loopback/endpoint.go
+++ b/internal/emulator/loopback/endpoint.go
@@ -18,7 +18,7 @@
 	server     *model.Server
 	address    string
 	listener   net.Listener // nil: its process has ended
-	cuts       int          // partitions that cut it off from all gateways now
+	partitions int          // partitions that cut it off from all gateways now
 
 	connections []*upstreamConnection // that are open, in the order in which they were accepted
 }
@@ -42,20 +42,20 @@
 		e.stop()
 	}
 	w.endpoints = append(w.endpoints, e)
-	e.started(listener, startedAt > 0 && w.scenario.WarmUp.Duration > 0)
+	e.markStarted(listener, startedAt > 0 && w.scenario.WarmUp.Duration > 0)
 	return nil
 }
 
-// started accepts connections and publishes the endpoint.
-func (e *endpoint) started(listener net.Listener, warming bool) {
+// markStarted accepts connections and publishes the endpoint.
+func (e *endpoint) markStarted(listener net.Listener, warming bool) {
 	e.listener = listener
 	e.world.observe(emulator.EndpointStarted{Endpoint: e.id, Warming: warming})
 	e.world.discovery.Set(e.server.Endpoint())
-	e.world.running.Go(func() { e.accept(listener) })
+	e.world.goroutines.Go(func() { e.acceptConnections(listener) })
 }
 
-// accept serves the connections of one process of the endpoint until its listener is closed.
-func (e *endpoint) accept(listener net.Listener) {
+// acceptConnections serves the connections of one process of the endpoint until its listener is closed.
+func (e *endpoint) acceptConnections(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -63,15 +63,15 @@
 		}
 		if err != nil {
 			e.world.logger.Warn("accepting at an endpoint failed", "endpoint", e.id, "err", err)
-			if !e.world.pause(acceptRetryDelay) {
+			if !e.world.sleep(acceptRetryDelay) {
 				return
 			}
 			continue
 		}
-		served := false
-		e.world.scheduler.Do(func() { served = e.connected(conn, listener) })
-		if !served {
-			reset(conn)
+		accepted := false
+		e.world.scheduler.Do(func() { accepted = e.addConnection(conn, listener) })
+		if !accepted {
+			closeWithReset(conn)
 		}
 	}
 }
@@ -79,15 +79,15 @@
 // acceptRetryDelay is the pause after a connection could not be accepted, as when no descriptor is free.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// connected serves a connection that was accepted by the listener. It reports false if the process of that listener has
-// ended.
-func (e *endpoint) connected(conn net.Conn, listener net.Listener) bool {
+// addConnection serves a connection that the listener has accepted. It reports false if the process of that listener
+// has ended.
+func (e *endpoint) addConnection(conn net.Conn, listener net.Listener) bool {
 	if e.listener != listener {
 		return false
 	}
-	c := &upstreamConnection{endpoint: e, conn: conn, process: listener, admitted: e.server.Connect()}
+	c := &upstreamConnection{endpoint: e, conn: conn, processListener: listener, admitted: e.server.Connect()}
 	e.connections = append(e.connections, c)
-	e.world.running.Go(c.serve)
+	e.world.goroutines.Go(c.serve)
 	return true
 }
 
@@ -114,7 +114,7 @@
 
 func (e *endpoint) resetConnections() {
 	for _, c := range e.connections {
-		c.reset()
+		c.closeWithReset()
 	}
 }
 
@@ -129,7 +129,7 @@
 		return
 	}
 	e.server.Start(e.world.scheduler.Now())
-	e.started(listener, e.world.scenario.WarmUp.Duration > 0)
+	e.markStarted(listener, e.world.scenario.WarmUp.Duration > 0)
 }
 
 func (e *endpoint) closeListener() {
@@ -155,8 +155,8 @@
 	return ""
 }
 
-// pause waits for a time. It reports false if the world ends before.
-func (w *World) pause(delay time.Duration) bool {
+// sleep waits for a time. It reports false if the world ends before.
+func (w *World) sleep(delay time.Duration) bool {
 	select {
 	case <-time.After(delay):
 		return true
--- a/internal/emulator/loopback/endpoint_list.go
+++ b/internal/emulator/loopback/endpoint_list.go
@@ -31,17 +31,17 @@
 // instanceKind is the kind of machine that all endpoints have.
 const instanceKind = "loopback"
 
-// addressBook tells at which address an endpoint is reached.
-type addressBook func(id policy.EndpointID) string
+// addressLookup tells at which address an endpoint is reached.
+type addressLookup func(id policy.EndpointID) string
 
 // newListMessage returns the message with start times by a clock that differs by an offset.
-func newListMessage(version uint64, full bool, list []policy.Endpoint, addresses addressBook,
+func newListMessage(version uint64, full bool, list []policy.Endpoint, addressOf addressLookup,
 	clockOffset time.Duration) listMessage {
 	message := listMessage{Version: version, Full: full, Servers: make([]instanceMessage, 0, len(list))}
 	for _, endpoint := range list {
 		message.Servers = append(message.Servers, instanceMessage{
 			ID:        instanceID(endpoint.ID),
-			Address:   addresses(endpoint.ID),
+			Address:   addressOf(endpoint.ID),
 			Zone:      model.ZoneName(endpoint.Zone),
 			Kind:      instanceKind,
 			Cell:      endpoint.Cell,
--- a/internal/emulator/loopback/faults.go
+++ b/internal/emulator/loopback/faults.go
@@ -68,31 +68,32 @@
 
 // CutEndpoint implements model.FaultTarget.
 func (t faultTarget) CutEndpoint(id policy.EndpointID, cut bool) {
-	t.w.endpoint(id).cuts += cutChange(cut)
-	t.w.resetCutOff()
+	t.w.endpoint(id).partitions += partitionChange(cut)
+	t.w.resetAfterPartition()
 }
 
 // CutZone implements model.FaultTarget.
 func (t faultTarget) CutZone(zone int, cut bool) {
-	if zone < len(t.w.zoneCuts) {
-		t.w.zoneCuts[zone] += cutChange(cut)
-		t.w.resetCutOff()
+	if zone < len(t.w.zonePartitions) {
+		t.w.zonePartitions[zone] += partitionChange(cut)
+		t.w.resetAfterPartition()
 	}
 }
 
-func cutChange(cut bool) int {
+func partitionChange(cut bool) int {
 	if cut {
 		return 1
 	}
 	return -1
 }
 
-// resetCutOff resets the connections on which something was lost, of the endpoints that are not cut off any more.
-func (w *World) resetCutOff() {
+// resetAfterPartition resets the connections on which data was lost in a partition that no longer separates their
+// endpoints from their gateways.
+func (w *World) resetAfterPartition() {
 	for _, e := range w.endpoints {
 		for _, c := range e.connections {
-			if c.cutOff && w.reachable(c.gateway, e) {
-				c.reset()
+			if c.lostByPartition && w.reachable(c.gateway, e) {
+				c.closeWithReset()
 			}
 		}
 	}
@@ -112,7 +113,7 @@
 	t.w.discoveryDown = down
 	t.w.discovery.SetDown(down)
 	for _, g := range t.w.gateways {
-		g.agent.wake()
+		g.agent.wakeCalls()
 	}
 }
 
--- a/internal/emulator/loopback/gateway.go
+++ b/internal/emulator/loopback/gateway.go
@@ -21,10 +21,10 @@
 	readyPollInterval  = 20 * time.Millisecond
 	healthCheckTimeout = 500 * time.Millisecond
 
-	// killNotBefore and killMargin: after SIGTERM a gateway is killed no sooner than its longest deadline, which counts
-	// as killNotBefore where it is longer, and killMargin.
-	killNotBefore = 3 * time.Second
-	killMargin    = 700 * time.Millisecond
+	// maxDeadlineWait and killMargin: after SIGTERM a gateway is killed no sooner than its longest deadline, which counts
+	// as maxDeadlineWait where it is longer, and killMargin.
+	maxDeadlineWait = 3 * time.Second
+	killMargin      = 700 * time.Millisecond
 )
 
 // gatewayState is the state of a gateway's process.
@@ -39,43 +39,43 @@
 
 // gateway is one gateway of the deployment: its process and the front's view of it. Its fields belong to the scheduler.
 type gateway struct {
-	world      *World
-	index      int
-	zone       int
-	address    string
-	configPath string
-	logPath    string
-	faultPath  string // control file of builds with seams
-	agent      *agent
-
-	process      *process // nil: none runs
-	state        gatewayState
-	admitted     bool // the front brings new requests on new connections
-	shutDown     bool // it was told to end and is not ready again
-	ending       bool // its process has ended, but clients may still read from it
-	startsAgain  bool // it is started when its process has ended
-	stopObserved bool // of the present process
-	withoutList  bool // its configuration holds no endpoint list
-	wasReady     bool // once
-
-	known     map[policy.EndpointID]policy.Endpoint // of which it counts as notified
-	idle      []*clientConnection                   // the one that was used last at the end
-	exchanges int                                   // requests of clients without their outcome
-	onQuiet   func()                                // runs when there is no exchange any more; nil: nothing
+	world            *World
+	index            int
+	zone             int
+	address          string
+	configPath       string
+	logPath          string
+	faultControlPath string // control file of builds with seams
+	agent            *agent
+
+	process           *process // nil: none runs
+	state             gatewayState
+	inRotation        bool // the front brings new requests on new connections
+	shutdownRequested bool // it was told to end and is not ready again
+	answersPending    bool // its process has ended, but clients may still read from it
+	restartPending    bool // it is started when its process has ended
+	stopObserved      bool // of the present process
+	startWithoutList  bool // its configuration holds no endpoint list
+	everReady         bool // once
+
+	known           map[policy.EndpointID]policy.Endpoint // of which it counts as notified
+	idleConnections []*clientConnection                   // the one that was used last at the end
+	openExchanges   int                                   // requests of clients without their outcome
+	onExchangesDone func()                                // runs when there is no exchange any more; nil: nothing
 }
 
 // newGateway starts the gateway's view of discovery.
 func newGateway(w *World, index int, address string) (*gateway, error) {
 	name := fmt.Sprintf("gateway-%d", index)
 	g := &gateway{
-		world:      w,
-		index:      index,
-		zone:       model.ZoneOf(w.scenario, index),
-		address:    address,
-		configPath: filepath.Join(w.options.Directory, name+".json"),
-		logPath:    filepath.Join(w.options.Directory, name+".log"),
-		faultPath:  filepath.Join(w.options.Directory, name+".faults"),
-		known:      map[policy.EndpointID]policy.Endpoint{},
+		world:            w,
+		index:            index,
+		zone:             model.ZoneOf(w.scenario, index),
+		address:          address,
+		configPath:       filepath.Join(w.options.Directory, name+".json"),
+		logPath:          filepath.Join(w.options.Directory, name+".log"),
+		faultControlPath: filepath.Join(w.options.Directory, name+".faults"),
+		known:            map[policy.EndpointID]policy.Endpoint{},
 	}
 	var err error
 	if g.agent, err = newAgent(w, index); err != nil {
@@ -109,8 +109,8 @@
 
 // writeConfig writes the configuration with the endpoint list that the gateway held last.
 func (g *gateway) writeConfig() error {
-	version, list := g.heldList()
-	if g.withoutList {
+	version, list := g.latestList()
+	if g.startWithoutList {
 		version, list = 0, nil
 	}
 	text, err := json.MarshalIndent(gatewayConfig{
@@ -126,15 +126,15 @@
 	if err != nil {
 		return fmt.Errorf("encode the configuration of a gateway: %w", err)
 	}
-	temporary := g.configPath + ".new"
-	if err := os.WriteFile(temporary, text, 0o600); err != nil {
+	temporaryPath := g.configPath + ".new"
+	if err := os.WriteFile(temporaryPath, text, 0o600); err != nil {
 		return fmt.Errorf("write the configuration of a gateway: %w", err)
 	}
-	return os.Rename(temporary, g.configPath)
+	return os.Rename(temporaryPath, g.configPath)
 }
 
-// heldList returns the list that the gateway's machine has.
-func (g *gateway) heldList() (version uint64, list []policy.Endpoint) {
+// latestList returns the list that the gateway's machine has.
+func (g *gateway) latestList() (version uint64, list []policy.Endpoint) {
 	if !g.world.scenario.Discovery.Polled && g.agent.version > 0 {
 		return g.agent.version, g.agent.list()
 	}
@@ -143,52 +143,52 @@
 
 // start starts the gateway's process, once the one before has ended.
 func (g *gateway) start() {
-	if g.process != nil || g.ending {
-		g.startsAgain = true
+	if g.process != nil || g.answersPending {
+		g.restartPending = true
 		return
 	}
 	w := g.world
 	err := g.writeConfig()
 	if err == nil {
 		g.process, err = newProcess(w.ctx, w.options.Gateway, w.options.GatewayArgs,
-			processPaths{config: g.configPath, log: g.logPath, faults: g.faultPath})
+			processPaths{config: g.configPath, log: g.logPath, faultControl: g.faultControlPath})
 	}
 	if err != nil {
 		w.logger.Error("starting a gateway failed", "gateway", g.index, "err", err)
 		return
 	}
-	g.state, g.startsAgain, g.stopObserved = gatewayStarting, false, false
+	g.state, g.restartPending, g.stopObserved = gatewayStarting, false, false
 	w.summary.GatewayStarts++
 	p := g.process
-	w.running.Go(func() {
+	w.goroutines.Go(func() {
 		err := p.run(w.launcher)
 		w.scheduler.Do(func() { g.processEnded(err) })
 	})
-	w.running.Go(func() { g.pollReadiness(p) })
+	w.goroutines.Go(func() { g.pollReadiness(p) })
 }
 
 // awaitReadiness waits in the background for a gateway that is started by hand.
 func (g *gateway) awaitReadiness() {
 	g.state = gatewayStarting
-	g.world.running.Go(func() { g.pollReadiness(nil) })
+	g.world.goroutines.Go(func() { g.pollReadiness(nil) })
 }
 
 // pollReadiness asks the process for its readiness until it is ready or has ended. Without a process it asks for good.
 func (g *gateway) pollReadiness(p *process) {
 	client := http.Client{Timeout: healthCheckTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	var ended <-chan struct{}
-	var overdue <-chan time.Time
+	var expired <-chan time.Time
 	if p != nil {
-		ended, overdue = p.ended, time.After(readyTimeout)
+		ended, expired = p.ended, time.After(readyTimeout)
 	}
 	for {
 		if g.checkHealth(&client) {
-			g.world.scheduler.Do(func() { g.becameReady(p) })
+			g.world.scheduler.Do(func() { g.markReady(p) })
 			return
 		}
 		select {
 		case <-time.After(readyPollInterval):
-		case <-overdue:
+		case <-expired:
 			g.world.scheduler.Do(func() { g.world.summary.ReadinessTimeouts++ })
 			g.world.logger.Error("a gateway is not ready in time", "gateway", g.index, "log", g.logPath)
 			return
@@ -213,32 +213,32 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// becameReady lets the front bring requests.
-func (g *gateway) becameReady(p *process) {
+// markReady lets the front bring requests.
+func (g *gateway) markReady(p *process) {
 	if g.process != p || g.state != gatewayStarting {
 		return
 	}
-	g.state, g.admitted, g.shutDown = gatewayReady, true, false
+	g.state, g.inRotation, g.shutdownRequested = gatewayReady, true, false
 	w := g.world
 	w.observe(emulator.GatewayStarted{Gateway: g.index})
-	_, list := g.heldList()
-	if w.listSpread > 0 {
+	_, list := g.latestList()
+	if w.slowListDuration > 0 {
 		g.agent.notify(list) // it is still on its way
 	} else {
-		g.notified(list)
+		g.markNotified(list)
 	}
-	if g.wasReady {
+	if g.everReady {
 		return
 	}
-	g.wasReady = true
+	g.everReady = true
 	w.notReady--
 	if w.notReady == 0 {
 		close(w.ready)
 	}
 }
 
-// notified records that the gateway counts as notified of entries of the endpoint list.
-func (g *gateway) notified(list []policy.Endpoint) {
+// markNotified records that the gateway counts as notified of entries of the endpoint list.
+func (g *gateway) markNotified(list []policy.Endpoint) {
 	for _, entry := range list {
 		g.known[entry.ID] = entry
 		if g.state == gatewayDown {
@@ -264,11 +264,11 @@
 	if g.process == nil || g.state == gatewayDown {
 		return
 	}
-	g.state, g.startsAgain, g.shutDown = gatewayDown, false, false
+	g.state, g.restartPending, g.shutdownRequested = gatewayDown, false, false
 	g.observeStopped(true)
 	g.process.kill()
 	g.closeIdle()
-	g.noticeDeath()
+	g.scheduleRemoval()
 }
 
 // shutDownAndRestart ends the process gracefully and starts another one when it has ended.
@@ -277,14 +277,14 @@
 		return
 	}
 	w, p := g.world, g.process
-	g.state, g.shutDown, g.startsAgain = gatewayDraining, true, true
+	g.state, g.shutdownRequested, g.restartPending = gatewayDraining, true, true
 	g.signal(syscall.SIGTERM)
-	w.scheduler.After(drainConnections, func() {
+	w.scheduler.After(drainConnectTime, func() {
 		if g.process == p {
-			g.admitted = false
+			g.inRotation = false
 		}
 	})
-	w.scheduler.After(min(w.longestDeadline(), killNotBefore)+killMargin+w.options.KillDelay, func() {
+	w.scheduler.After(min(w.longestDeadline(), maxDeadlineWait)+killMargin+w.options.KillDelay, func() {
 		if g.process == p {
 			w.summary.DrainsKilled++
 		}
@@ -307,21 +307,21 @@
 		w.summary.GatewayCrashes++
 		w.logger.Error("a gateway has ended", "gateway", g.index, "log", g.logPath, "err", err)
 	}
-	if crashed && !g.wasReady {
+	if crashed && !g.everReady {
 		w.startFailed <- struct{}{} // has room for one of each gateway, which is not started again
 	}
 	g.state = gatewayDown
-	if g.shutDown {
-		g.admitted = false
+	if g.shutdownRequested {
+		g.inRotation = false
 	} else {
-		g.noticeDeath()
+		g.scheduleRemoval()
 	}
 	g.closeIdle()
-	g.ending = true
-	g.whenQuiet(func() {
-		g.ending = false
+	g.answersPending = true
+	g.afterExchanges(func() {
+		g.answersPending = false
 		g.observeStopped(false)
-		if g.startsAgain {
+		if g.restartPending {
 			g.start()
 		}
 	})
@@ -335,43 +335,47 @@
 	}
 }
 
-// noticeDeath lets the front notice after a while that the gateway is down.
-func (g *gateway) noticeDeath() {
-	starts := g.process
+// scheduleRemoval lets the front notice after a while that the gateway is down.
+func (g *gateway) scheduleRemoval() {
+	failedProcess := g.process
 	g.world.scheduler.After(g.world.scenario.Network.FrontDelay.Of(), func() {
-		if g.state != gatewayReady && (g.process == starts || g.process == nil) {
-			g.admitted = false
+		if g.state != gatewayReady && (g.process == failedProcess || g.process == nil) {
+			g.inRotation = false
 		}
 	})
 }
 
-// whenQuiet runs a function once all clients have the outcome of what they have sent: the last answers of a process may
-// be read after it has ended.
-func (g *gateway) whenQuiet(run func()) {
-	if g.exchanges == 0 {
+// afterExchanges runs a function once all client requests to the gateway have their outcomes. Clients may read the last
+// answers of a process after it has ended.
+func (g *gateway) afterExchanges(run func()) {
+	if g.openExchanges == 0 {
 		run()
 		return
 	}
-	g.onQuiet = run
+	g.onExchangesDone = run
 }
 
 // exchangeEnded records that a client has its outcome.
 func (g *gateway) exchangeEnded() {
-	g.exchanges--
-	if run := g.onQuiet; run != nil && g.exchanges == 0 {
-		g.onQuiet = nil
+	g.openExchanges--
+	if run := g.onExchangesDone; run != nil && g.openExchanges == 0 {
+		g.onExchangesDone = nil
 		g.world.scheduler.After(0, run) // after the outcome has been observed
 	}
 }
 
-// accepts reports whether the process can take new connections.
-func (g *gateway) accepts() bool { return g.state == gatewayReady || g.state == gatewayDraining }
+// acceptsConnections reports whether the process can take new connections.
+func (g *gateway) acceptsConnections() bool {
+	return g.state == gatewayReady || g.state == gatewayDraining
+}
 
 // takesRequests reports whether the front brings requests: on new connections or on those that are open.
 func (g *gateway) takesRequests() bool {
-	if g.admitted {
+	if g.inRotation {
 		return true
 	}
-	g.idle = slices.DeleteFunc(g.idle, func(c *clientConnection) bool { return peerHasClosed(c.Conn) })
-	return g.state == gatewayDraining && len(g.idle) > 0
+	g.idleConnections = slices.DeleteFunc(g.idleConnections, func(c *clientConnection) bool {
+		return peerHasClosed(c.Conn)
+	})
+	return g.state == gatewayDraining && len(g.idleConnections) > 0
 }
--- a/internal/emulator/loopback/harness_test.go
+++ b/internal/emulator/loopback/harness_test.go
@@ -42,16 +42,16 @@
 	return m.Run()
 }
 
-// counts counts the observations of a run by their type.
-type counts struct {
-	mu    sync.Mutex
-	seen  map[string]int
-	last  time.Duration
-	early int // observations with an earlier time than the one before
+// observationCounts counts the observations of a run by type, and answers and attempts also by outcome.
+type observationCounts struct {
+	mu         sync.Mutex
+	seen       map[string]int
+	last       time.Duration
+	outOfOrder int // observations with an earlier time than the one before
 }
 
 // Observe implements emulator.Observer.
-func (c *counts) Observe(at time.Duration, observation emulator.Observation) {
+func (c *observationCounts) Observe(at time.Duration, observation emulator.Observation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.seen == nil {
@@ -68,19 +68,19 @@
 		c.seen[fmt.Sprintf("status %d", o.Status)]++
 	}
 	if at < c.last {
-		c.early++
+		c.outOfOrder++
 	}
 	c.last = at
 }
 
-func (c *counts) of(name string) int {
+func (c *observationCounts) count(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.seen[name]
 }
 
-// scenario returns a small deployment whose load takes the given time.
-func scenario(length time.Duration, faults ...emulator.Fault) emulator.Scenario {
+// newScenario returns a small deployment whose load takes the given time.
+func newScenario(length time.Duration, faults ...emulator.Fault) emulator.Scenario {
 	s := model.DefaultScenario()
 	s.Name = "loopback test"
 	s.Gateways = 2
@@ -90,23 +90,24 @@
 	return s
 }
 
-// observed is what a run showed.
-type observed struct {
-	*counts
+// runResult is what a run showed.
+type runResult struct {
+	*observationCounts
 	checker *invariant.Checker
 	summary Summary
 }
 
-// options returns the options of a run with what observes it. Logs of gateways that fail are shown.
-func options(t *testing.T, s emulator.Scenario) (Options, *observed) {
+// newOptions returns the options of a run, and the result that observes it. If the test fails, the logs of the gateways
+// are shown.
+func newOptions(t *testing.T, s emulator.Scenario) (Options, *runResult) {
 	t.Helper()
-	o := &observed{counts: &counts{}, checker: invariant.NewChecker(&s)}
+	o := &runResult{observationCounts: &observationCounts{}, checker: invariant.NewChecker(&s)}
 	opts := Options{
 		Scenario:  s,
 		Seed:      1,
 		Gateway:   gatewayProgram,
 		Directory: t.TempDir(),
-		Observer:  emulator.Observers{o.counts, o.checker},
+		Observer:  emulator.Observers{o.observationCounts, o.checker},
 		Logger:    slog.New(slog.NewTextHandler(t.Output(), nil)),
 	}
 	t.Cleanup(func() {
@@ -129,32 +130,32 @@
 	}
 }
 
-// run plays a scenario to its end.
-func run(t *testing.T, s emulator.Scenario) *observed {
+// runScenario plays a scenario to its end.
+func runScenario(t *testing.T, s emulator.Scenario) *runResult {
 	t.Helper()
-	opts, o := options(t, s)
+	opts, result := newOptions(t, s)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	summary, err := Run(ctx, opts)
 	if err != nil {
-		t.Fatalf("%v (%+v, %v)", err, summary, o.seen)
+		t.Fatalf("%v (%+v, %v)", err, summary, result.seen)
 	}
-	o.summary = summary
-	t.Logf("%+v %v", summary, o.seen)
-	return o
+	result.summary = summary
+	t.Logf("%+v %v", summary, result.seen)
+	return result
 }
 
-// wantKept fails the test if a rule was broken, a gateway crashed or the observations contradict each other.
-func (o *observed) wantKept(t *testing.T) {
+// checkRules fails the test if a rule was broken, a gateway crashed or the observations contradict each other.
+func (o *runResult) checkRules(t *testing.T) {
 	t.Helper()
 	if report := o.checker.Finish(o.last); !report.Kept() {
 		t.Errorf("broken rules: %+v", report)
 	}
-	if o.summary.GatewayCrashes != 0 || o.summary.UnknownRequests != 0 || o.early != 0 {
-		t.Errorf("%+v, %d observations out of order", o.summary, o.early)
+	if o.summary.GatewayCrashes != 0 || o.summary.UnknownRequests != 0 || o.outOfOrder != 0 {
+		t.Errorf("%+v, %d observations out of order", o.summary, o.outOfOrder)
 	}
-	over := o.of("RequestAnswered") + o.of("ClientDisconnected")
-	submitted := o.of("RequestSubmitted")
+	over := o.count("RequestAnswered") + o.count("ClientDisconnected")
+	submitted := o.count("RequestSubmitted")
 	if submitted == 0 || submitted != over || int64(submitted) != o.summary.Requests {
 		t.Errorf("%d requests, %d of them over: %+v %v", submitted, over, o.summary, o.seen)
 	}
--- a/internal/emulator/loopback/log_pipe.go
+++ b/internal/emulator/loopback/log_pipe.go
@@ -10,7 +10,7 @@
 type logPipe struct {
 	reader, writer *os.File
 	file           *os.File
-	copied         chan struct{} // closed when nothing more is read
+	copyDone       chan struct{} // closed when nothing more is read
 
 	mu      sync.Mutex
 	stalled chan struct{} // not nil while nothing is read; closed when reading goes on
@@ -22,28 +22,28 @@
 	if err != nil {
 		return nil, err
 	}
-	var ends [2]int
-	if err := syscall.Pipe2(ends[:], syscall.O_CLOEXEC); err != nil {
+	var descriptors [2]int
+	if err := syscall.Pipe2(descriptors[:], syscall.O_CLOEXEC); err != nil {
 		_ = file.Close() // nothing has been written
 		return nil, os.NewSyscallError("pipe2", err)
 	}
 	// The reading end alone is in non-blocking mode, so that closing it ends a read.
-	if err := syscall.SetNonblock(ends[0], true); err != nil {
+	if err := syscall.SetNonblock(descriptors[0], true); err != nil {
 		_ = file.Close() // nothing has been written
 		return nil, os.NewSyscallError("fcntl", err)
 	}
 	p := &logPipe{
-		reader: os.NewFile(uintptr(ends[0]), "log reader"),
-		writer: os.NewFile(uintptr(ends[1]), "log writer"),
-		file:   file,
-		copied: make(chan struct{}),
+		reader:   os.NewFile(uintptr(descriptors[0]), "log reader"),
+		writer:   os.NewFile(uintptr(descriptors[1]), "log writer"),
+		file:     file,
+		copyDone: make(chan struct{}),
 	}
 	go p.copy()
 	return p, nil
 }
 
 func (p *logPipe) copy() {
-	defer close(p.copied)
+	defer close(p.copyDone)
 	buffer := make([]byte, 32<<10)
 	for {
 		p.mu.Lock()
@@ -62,8 +62,8 @@
 	}
 }
 
-// leave closes the reading end.
-func (p *logPipe) leave() { _ = p.reader.Close() } // fails if it has left before
+// closeReader closes the reading end.
+func (p *logPipe) closeReader() { _ = p.reader.Close() } // fails if it has left before
 
 // stall stops reading, and fills the pipe, until resume is called.
 func (p *logPipe) stall() {
@@ -103,7 +103,7 @@
 func (p *logPipe) close() {
 	p.resume()
 	_ = p.writer.Close() // this process has written nothing
-	<-p.copied
+	<-p.copyDone
 	_ = p.reader.Close() // the reader may have left
 	_ = p.file.Close()   // the log is for people
 }
--- a/internal/emulator/loopback/message_test.go
+++ b/internal/emulator/loopback/message_test.go
@@ -12,8 +12,8 @@
 )
 
 // A request has the form of the protocol, and an endpoint recognizes it only unchanged.
-func TestMessage(t *testing.T) {
-	s := scenario(time.Second)
+func TestEncodedRequestIsRecognizedOnlyUnchanged(t *testing.T) {
+	s := newScenario(time.Second)
 	s.Classes[1].Idempotency = "deduplicated"
 	arrival := model.Arrival{
 		Request:  0x1b,
@@ -33,17 +33,17 @@
 		t.Errorf("got %q", text)
 	}
 	received, err := readRequest(bufio.NewReader(bytes.NewReader([]byte(text))))
-	if err != nil || !m.carriedBy(received) {
+	if err != nil || !m.matches(received) {
 		t.Errorf("not recognized: %v", err)
 	}
 	received.body += "x"
-	if m.carriedBy(received) {
+	if m.matches(received) {
 		t.Error("recognized with another body")
 	}
 }
 
 // A complete response can be read, and a truncated one is an error.
-func TestResponseEncoding(t *testing.T) {
+func TestOnlyTruncatedResponsesFailToParse(t *testing.T) {
 	for _, truncated := range []bool{false, true} {
 		r := response{status: http.StatusOK, body: "some text", truncated: truncated, header: []string{"Usage-Percent: 40"}}
 		parsed, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(r.encode())), nil)
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestFormatDecimal(t *testing.T) {
+func TestFormatDecimalTrimsTrailingZeros(t *testing.T) {
 	for value, want := range map[float64]string{0: "0", 10: "10", 1.5: "1.5", 0.12346: "0.1235", 1e6: "1000000"} {
 		if got := formatDecimal(value); got != want {
 			t.Errorf("%v: got %s, want %s", value, got, want)
@@ -67,7 +67,7 @@
 }
 
 // The end of a connection is seen without a read, and unread bytes are not taken for it.
-func TestPeerHasClosed(t *testing.T) {
+func TestPeerHasClosedDetectsOnlyClosedConnections(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/emulator/loopback/process.go
+++ b/internal/emulator/loopback/process.go
@@ -51,16 +51,16 @@
 	log     *logPipe
 	ended   chan struct{} // closed when the process has ended
 
-	mu      sync.Mutex
-	running bool
-	killed  bool // it is to be killed, perhaps before it has started
+	mu            sync.Mutex
+	running       bool
+	killRequested bool // it is to be killed, perhaps before it has started
 }
 
 // processPaths are the files of a gateway's process.
 type processPaths struct {
-	config string
-	log    string
-	faults string // control file of builds with seams
+	config       string
+	log          string
+	faultControl string // control file of builds with seams
 }
 
 // newProcess prepares a process that is killed at the latest when ctx ends.
@@ -72,7 +72,7 @@
 	p := &process{log: log, ended: make(chan struct{})}
 	command := exec.CommandContext(ctx, program, arguments...)
 	command.Env = append(gatewayEnvironment(os.Environ()), configVariable+"="+paths.config,
-		faultinjection.ControlVariable+"="+paths.faults)
+		faultinjection.ControlVariable+"="+paths.faultControl)
 	command.Stdout, command.Stderr = log.writer, log.writer
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	command.Cancel = func() error { return killGroup(command.Process.Pid) }
@@ -102,7 +102,7 @@
 	}
 	p.mu.Lock()
 	p.running = true
-	if p.killed {
+	if p.killRequested {
 		_ = killGroup(p.command.Process.Pid) // it has not been waited for: its id is its own
 	}
 	p.mu.Unlock()
@@ -117,7 +117,7 @@
 func (p *process) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.killed = true
+	p.killRequested = true
 	if p.running {
 		_ = killGroup(p.command.Process.Pid) // fails only if it has just ended
 	}
--- a/internal/emulator/loopback/process_faults.go
+++ b/internal/emulator/loopback/process_faults.go
@@ -25,7 +25,7 @@
 func (w *World) CloseLog(index int) {
 	w.scheduler.Do(func() {
 		if p := w.gateways[index].process; p != nil {
-			p.log.leave()
+			p.log.closeReader()
 		}
 	})
 }
@@ -69,10 +69,10 @@
 	w.scheduler.Do(func() {
 		g := w.gateways[index]
 		write := func(text string) {
-			temporary := g.faultPath + ".new"
-			err := os.WriteFile(temporary, []byte(text), 0o600)
+			temporaryPath := g.faultControlPath + ".new"
+			err := os.WriteFile(temporaryPath, []byte(text), 0o600)
 			if err == nil {
-				err = os.Rename(temporary, g.faultPath)
+				err = os.Rename(temporaryPath, g.faultControlPath)
 			}
 			if err != nil {
 				w.logger.Error("writing a control file failed", "gateway", index, "err", err)
@@ -86,22 +86,22 @@
 // SlowLists makes agents write complete lists slowly for a time, over so long each.
 func (w *World) SlowLists(spread, length time.Duration) {
 	w.scheduler.Do(func() {
-		w.listSpread = spread
+		w.slowListDuration = spread
 		for _, g := range w.gateways { // what they cannot have read does not count as notified
-			g.agent.deferUntil = max(g.agent.deferUntil, w.scheduler.Now()+length+spread+silenceNotifiedAfter)
+			g.agent.deferUntil = max(g.agent.deferUntil, w.scheduler.Now()+length+spread+silenceNotificationDelay)
 		}
-		w.scheduler.After(length, func() { w.listSpread = 0 })
+		w.scheduler.After(length, func() { w.slowListDuration = 0 })
 	})
 }
 
 // RestartWithoutList kills the process of a gateway and starts another one whose configuration holds no endpoint list.
 func (w *World) RestartWithoutList(index int) {
-	const down = 50 * time.Millisecond
+	const downtime = 50 * time.Millisecond
 	w.scheduler.Do(func() {
 		g := w.gateways[index]
-		g.withoutList = true
+		g.startWithoutList = true
 		g.killByFault()
-		w.scheduler.After(down, g.start)
+		w.scheduler.After(downtime, g.start)
 	})
 }
 
@@ -112,7 +112,7 @@
 	w.scheduler.Do(func() {
 		for _, g := range w.gateways {
 			if g.process != nil {
-				g.state, g.shutDown, g.startsAgain = gatewayDraining, true, false
+				g.state, g.shutdownRequested, g.restartPending = gatewayDraining, true, false
 				g.signal(syscall.SIGTERM)
 				processes = append(processes, g.process)
 			}
--- a/internal/emulator/loopback/request.go
+++ b/internal/emulator/loopback/request.go
@@ -14,21 +14,21 @@
 const (
 	requestIDHeader = "Req-Id"
 
-	// rememberedFor is how long a request is known after its final answer, for attempts that come late.
-	rememberedFor = 30 * time.Second
+	// requestRetention is how long a request is known after its final answer, for attempts that come late.
+	requestRetention = 30 * time.Second
 )
 
 // request is one try of a client. Its fields belong to the scheduler, but for the message, which does not change.
 type request struct {
-	arrival  model.Arrival // its gateway is the one that the front has brought it to
-	message  message
-	inFlight []*attempt
-	attempts int
-	bodies   []string // of the complete answers that endpoints made for it
-	metered  bool     // its units have been taken
-	billed   bool     // an answer has carried its true units
-	observed bool     // as submitted
-	resent   bool     // it was sent once more because it had not been read
+	arrival            model.Arrival // its gateway is the one that the front has brought it to
+	message            message
+	inFlight           []*attempt
+	attempts           int
+	bodies             []string // of the complete answers that endpoints made for it
+	metered            bool     // its units have been taken
+	billed             bool     // an answer has carried its true units
+	submissionObserved bool     // as submitted
+	resent             bool     // it was sent once more because it had not been read
 }
 
 // message is the part of a request that gateways pass on unchanged, and the rest of its head.
@@ -78,8 +78,8 @@
 	return text.Bytes()
 }
 
-// carriedBy reports whether an attempt carries the message unchanged.
-func (m *message) carriedBy(received receivedRequest) bool {
+// matches reports whether an attempt carries the message unchanged.
+func (m *message) matches(received receivedRequest) bool {
 	head := received.head
 	return head.Method == m.method && head.URL.RequestURI() == m.path && received.body == m.body
 }
--- a/internal/emulator/loopback/run.go
+++ b/internal/emulator/loopback/run.go
@@ -12,8 +12,8 @@
 	// loadDelay is the time from the begin of Drive until the load begins.
 	loadDelay = 200 * time.Millisecond
 
-	// settleTime is how long after the last deadline a run may go on until all clients have their outcome.
-	settleTime = 10 * time.Second
+	// settleTimeout is how long after the last deadline a run may go on until all clients have their outcome.
+	settleTimeout = 10 * time.Second
 )
 
 // Run plays a scenario until its load is over and all of its requests are answered. If ctx ends before, it returns what
@@ -33,10 +33,10 @@
 	if err := w.awaitReady(ctx, 0); err != nil {
 		return w.Summary(), err
 	}
-	begun := time.Now()
+	startTime := time.Now()
 	w.scheduler.Do(w.beginLoad)
-	limit := loadDelay + w.scenario.Length.Of() + w.longestDeadline() + settleTime
-	timer := time.NewTimer(limit)
+	maxDuration := loadDelay + w.scenario.Length.Of() + w.longestDeadline() + settleTimeout
+	timer := time.NewTimer(maxDuration)
 	defer timer.Stop()
 	var err error
 	select {
@@ -49,7 +49,7 @@
 		err = context.Cause(w.ctx)
 	}
 	summary := w.Summary()
-	summary.LoadTime = time.Since(begun) - loadDelay
+	summary.LoadTime = time.Since(startTime) - loadDelay
 	return summary, err
 }
 
@@ -62,8 +62,8 @@
 
 // beginLoad schedules the faults and the first request.
 func (w *World) beginLoad() {
-	start := w.scheduler.Now() + loadDelay
-	w.workload = model.NewWorkload(w.scenario, w.options.Seed, start)
+	loadStart := w.scheduler.Now() + loadDelay
+	w.workload = model.NewWorkload(w.scenario, w.options.Seed, loadStart)
 	faults := model.StreamFaults.Random(w.options.Seed)
 	w.scheduler.After(loadDelay, func() {
 		model.ScheduleFaults(w.scenario, w.scheduler, faults, faultTarget{w}, w.options.Observer)
@@ -79,21 +79,21 @@
 		w.checkSettled()
 		return
 	}
-	w.unsettled++
+	w.unsettledRequests++
 	w.scheduler.After(arrival.At-w.scheduler.Now(), func() {
 		w.submit(arrival)
 		w.scheduleNextArrival()
 	})
 }
 
-// settle records that a client has its outcome and sends no further try.
-func (w *World) settle() {
-	w.unsettled--
+// settleRequest records that a client has its outcome and sends no further try.
+func (w *World) settleRequest() {
+	w.unsettledRequests--
 	w.checkSettled()
 }
 
 func (w *World) checkSettled() {
-	if w.loadEnded && w.unsettled == 0 {
+	if w.loadEnded && w.unsettledRequests == 0 {
 		close(w.settled)
 	}
 }
--- a/internal/emulator/loopback/run_test.go
+++ b/internal/emulator/loopback/run_test.go
@@ -6,13 +6,14 @@
 )
 
 // A run without faults serves requests through all gateways and keeps all rules.
-func TestCalmRunServesAndKeepsTheRules(t *testing.T) {
-	o := run(t, scenario(2*time.Second))
-	o.wantKept(t)
-	if o.of("answer 1") == 0 || o.of("GatewayStarted") != 2 || o.of("EndpointStarted") != 4 {
+func TestRunWithoutFaultsServesAndKeepsRules(t *testing.T) {
+	o := runScenario(t, newScenario(2*time.Second))
+	o.checkRules(t)
+	if o.count("answer 1") == 0 || o.count("GatewayStarted") != 2 || o.count("EndpointStarted") != 4 {
 		t.Errorf("%+v %v", o.summary, o.seen)
 	}
-	if o.of("AttemptForwarded") != o.of("AttemptReceived") || int64(o.of("AttemptForwarded")) != o.summary.Attempts {
+	if o.count("AttemptForwarded") != o.count("AttemptReceived") ||
+		int64(o.count("AttemptForwarded")) != o.summary.Attempts {
 		t.Errorf("attempts: %+v %v", o.summary, o.seen)
 	}
 }
--- a/internal/emulator/loopback/upstream_connection.go
+++ b/internal/emulator/loopback/upstream_connection.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	maxBodyBytes = 64 << 10
-	readTimeout  = 10 * time.Second // for a request that has begun
-	writeTimeout = 5 * time.Second
-	defaultIdle  = time.Minute
+	maxBodyBytes         = 64 << 10
+	requestReadTimeout   = 10 * time.Second // for a request that has begun
+	responseWriteTimeout = 5 * time.Second
+	defaultIdleTimeout   = time.Minute
 )
 
 // upstreamConnection is a connection of a gateway to an endpoint. Its goroutine reads requests and notices its end, by
 // which a gateway gives an attempt up; each answer is written by a goroutine that the scheduler starts once it is due.
 type upstreamConnection struct {
-	endpoint *endpoint
-	conn     net.Conn
-	process  net.Listener // of the endpoint's process that has accepted it
+	endpoint        *endpoint
+	conn            net.Conn
+	processListener net.Listener // of the endpoint's process that has accepted it
 
 	// What follows belongs to the scheduler.
 
-	admitted bool     // it has a place in the endpoint's connection table
-	used     bool     // a request has come on it
-	gateway  int      // whose request that was
-	cutOff   bool     // something was lost on it because of a partition
-	gone     bool     // it has been reset from this side
-	current  *attempt // nil: none is in flight
+	admitted        bool     // it has a place in the endpoint's connection table
+	used            bool     // a request has come on it
+	gateway         int      // whose request that was
+	lostByPartition bool     // something was lost on it because of a partition
+	resetLocally    bool     // it has been reset from this side
+	current         *attempt // nil: none is in flight
 }
 
 // receivedRequest is a complete request as it was read.
@@ -54,14 +54,14 @@
 		case <-c.endpoint.world.ctx.Done():
 			return
 		}
-		c.setReadDeadline(readTimeout)
+		c.setReadDeadline(requestReadTimeout)
 		received, err := readRequest(reader)
 		if err != nil {
 			return
 		}
 		_ = c.conn.SetReadDeadline(time.Time{}) // a read on a closed connection fails by itself
 		answered = make(chan struct{})
-		c.endpoint.world.scheduler.Do(func() { c.begin(received, answered) })
+		c.endpoint.world.scheduler.Do(func() { c.handleRequest(received, answered) })
 	}
 }
 
@@ -74,43 +74,44 @@
 	return receivedRequest{head: head, body: string(body)}, err
 }
 
-// begin handles a request that has been read, in the scheduler. The channel is closed when it has been answered.
-func (c *upstreamConnection) begin(received receivedRequest, answered chan<- struct{}) {
+// handleRequest handles a request that has been read. It runs in the scheduler. The answered channel is closed once the
+// response has been written and the connection stays open.
+func (c *upstreamConnection) handleRequest(received receivedRequest, answered chan<- struct{}) {
 	world := c.endpoint.world
-	if c.gone {
+	if c.resetLocally {
 		return // the reset has come before the request
 	}
-	first := !c.used
+	firstRequest := !c.used
 	c.used = true
-	sender, status := world.identify(received)
+	clientRequest, status := world.identifyRequest(received)
 	if status != http.StatusOK {
-		c.write(&response{status: status, closes: true}, answered)
+		c.writeResponse(&response{status: status, closesConnection: true}, answered)
 		return
 	}
-	c.gateway = sender.arrival.Gateway
+	c.gateway = clientRequest.arrival.Gateway
 	if !world.reachable(c.gateway, c.endpoint) {
-		c.cutOff = true // nothing of it arrives, and nothing is answered
+		c.lostByPartition = true // nothing of it arrives, and nothing is answered
 		return
 	}
-	c.current = world.beginAttempt(sender, c, first)
+	c.current = world.beginAttempt(clientRequest, c, firstRequest)
 	c.current.answered = answered
-	c.current.giveUpAt = world.scheduler.Now() + parseSeconds(received.head.Header.Get("Req-Deadline"))
+	c.current.deadline = world.scheduler.Now() + parseSeconds(received.head.Header.Get("Req-Deadline"))
 	delay := world.network.Delay()
-	if first {
+	if firstRequest {
 		delay += world.scenario.Endpoints.HandshakeDelay.Of()
 	}
 	world.scheduler.After(delay, c.current.receive)
 }
 
-// write writes a response in a goroutine of its own.
-func (c *upstreamConnection) write(r *response, answered chan<- struct{}) {
-	c.endpoint.world.running.Go(func() {
-		_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // a write on a closed connection fails by itself
-		err := c.writeBytes(r.encode(), r.fault)
-		if err == nil && r.stray != nil && c.endpoint.world.pause(strayDelay) {
-			_, err = c.conn.Write(r.stray.encode())
+// writeResponse writes a response in a goroutine of its own.
+func (c *upstreamConnection) writeResponse(r *response, answered chan<- struct{}) {
+	c.endpoint.world.goroutines.Go(func() {
+		_ = c.conn.SetWriteDeadline(time.Now().Add(responseWriteTimeout)) // a write on a closed connection fails by itself
+		err := c.writeWithFault(r.encode(), r.fault)
+		if err == nil && r.unsolicited != nil && c.endpoint.world.sleep(unsolicitedDelay) {
+			_, err = c.conn.Write(r.unsolicited.encode())
 		}
-		if err != nil || r.closes {
+		if err != nil || r.closesConnection {
 			_ = c.conn.Close() // which serve notices; it may be closed already
 			return
 		}
@@ -123,9 +124,9 @@
 func (c *upstreamConnection) release() {
 	c.endpoint.world.scheduler.Do(func() {
 		if c.current != nil {
-			c.current.abandon()
+			c.current.endByClose()
 		}
-		if c.admitted && c.endpoint.listener == c.process {
+		if c.admitted && c.endpoint.listener == c.processListener {
 			c.endpoint.server.Disconnect()
 		}
 		c.endpoint.connections = deleteItem(c.endpoint.connections, c)
@@ -133,20 +134,20 @@
 	_ = c.conn.Close() // it may be closed already
 }
 
-// reset ends the connection with a reset, and the attempt on it before.
-func (c *upstreamConnection) reset() {
-	c.gone = true
+// closeWithReset ends the connection with a reset, and the attempt on it before.
+func (c *upstreamConnection) closeWithReset() {
+	c.resetLocally = true
 	if c.current != nil {
-		c.current.lose()
+		c.current.endByReset()
 	}
-	reset(c.conn)
+	closeWithReset(c.conn)
 }
 
 func (c *upstreamConnection) idleTimeout() time.Duration {
 	if idle := c.endpoint.world.scenario.Endpoints.IdleTimeout.Of(); idle > 0 {
 		return idle
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
 func (c *upstreamConnection) setReadDeadline(timeout time.Duration) {
--- a/internal/emulator/loopback/watch.go
+++ b/internal/emulator/loopback/watch.go
@@ -27,15 +27,15 @@
 
 // watch is one open watch of a gateway, or one call for the list. Its fields belong to the scheduler.
 type watch struct {
-	agent   *agent
-	updates chan update
-	silent  bool
-	ended   bool // it was too slow
+	agent      *agent
+	updates    chan update
+	silent     bool
+	overflowed bool // it was too slow
 }
 
 // deliver queues an update; it is a model.Deliver.
 func (w *watch) deliver(kind policy.UpdateKind, version uint64, list []policy.Endpoint) {
-	if w.silent || w.ended {
+	if w.silent || w.overflowed {
 		return
 	}
 	next := update{
@@ -49,7 +49,7 @@
 	select {
 	case w.updates <- next:
 	default:
-		w.ended = true
+		w.overflowed = true
 		close(w.updates)
 	}
 }
@@ -64,7 +64,7 @@
 	}
 	isWatch := r.URL.Query().Get("watch") == "1"
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64) // 0 if there is none
-	opened, stop, ok := a.open(r, generation, isWatch, after)
+	opened, stop, ok := a.openWatch(r, generation, isWatch, after)
 	if !ok {
 		return
 	}
@@ -76,14 +76,15 @@
 	}
 }
 
-// open opens a watch once discovery can be reached at this address. It fails if the caller leaves before.
-func (a *agent) open(r *http.Request, generation int, isWatch bool, after uint64) (w *watch, stop func(), ok bool) {
+// openWatch opens a watch once discovery can be reached at this address. It fails if the caller leaves before.
+func (a *agent) openWatch(r *http.Request, generation int, isWatch bool,
+	after uint64) (w *watch, stop func(), ok bool) {
 	for {
 		var changed <-chan struct{}
 		var detach func()
 		a.world.scheduler.Do(func() {
 			changed = a.changed
-			if a.answers(generation) {
+			if a.answersCalls(generation) {
 				w = &watch{agent: a, updates: make(chan update, watchBacklog)}
 				detach = a.attach(w, isWatch, after)
 			}
@@ -99,8 +100,8 @@
 	}
 }
 
-// answers reports whether a call at an address of the generation gets an answer.
-func (a *agent) answers(generation int) bool {
+// answersCalls reports whether a call at an address of the generation gets an answer.
+func (a *agent) answersCalls(generation int) bool {
 	reachable := generation == a.generation && !a.world.discoveryDown
 	return reachable && (a.world.scenario.Discovery.Polled || a.version > 0)
 }
@@ -114,7 +115,7 @@
 		if !isWatch || after != a.version {
 			w.deliver(policy.UpdateFull, a.version, a.list())
 		}
-		if a.world.listSpread == 0 { // a slow list is not read yet
+		if a.world.slowListDuration == 0 { // a slow list is not read yet
 			a.notifyDeferred()
 		}
 	}
@@ -128,12 +129,12 @@
 // serveList writes the complete list.
 func (w *watch) serveList(response http.ResponseWriter, r *http.Request) {
 	select {
-	case list, ok := <-w.updates:
-		if !ok || list.failed {
+	case next, ok := <-w.updates:
+		if !ok || next.failed {
 			http.Error(response, "busy", http.StatusServiceUnavailable)
 			return
 		}
-		w.write(response, list)
+		w.write(response, next)
 	case <-r.Context().Done():
 	}
 }
@@ -181,28 +182,28 @@
 	}
 	world := w.agent.world
 	if world.scenario.Discovery.Polled {
-		world.scheduler.Do(func() { world.notified(w.agent.gateway, list.list) })
+		world.scheduler.Do(func() { world.markNotified(w.agent.gateway, list.list) })
 	}
-	return w.writeSpread(response, line, list.full)
+	return w.writeLine(response, line, list.full)
 }
 
-// listParts is the number of parts in which a slow list is written.
-const listParts = 10
+// slowListParts is the number of parts in which a slow list is written.
+const slowListParts = 10
 
-// writeSpread writes a line, and a complete list over the time that SlowLists has set.
-func (w *watch) writeSpread(response http.ResponseWriter, line []byte, full bool) bool {
+// writeLine writes a line, and a complete list over the time that SlowLists has set.
+func (w *watch) writeLine(response http.ResponseWriter, line []byte, full bool) bool {
 	world := w.agent.world
 	var spread time.Duration
-	world.scheduler.Do(func() { spread = world.listSpread })
+	world.scheduler.Do(func() { spread = world.slowListDuration })
 	if spread == 0 || !full {
 		_, err := response.Write(line)
 		return err == nil
 	}
-	for i := range listParts {
-		if !world.pause(spread / listParts) {
+	for i := range slowListParts {
+		if !world.sleep(spread / slowListParts) {
 			return false
 		}
-		if _, err := response.Write(line[len(line)*i/listParts : len(line)*(i+1)/listParts]); err != nil {
+		if _, err := response.Write(line[len(line)*i/slowListParts : len(line)*(i+1)/slowListParts]); err != nil {
 			return false
 		}
 		if http.NewResponseController(response).Flush() != nil {
--- a/internal/emulator/loopback/world.go
+++ b/internal/emulator/loopback/world.go
@@ -15,15 +15,15 @@
 
 // World is a deployment on sockets: its endpoints, discovery, clients and gateway processes.
 type World struct {
-	options   Options
-	scenario  *emulator.Scenario
-	scheduler *emulator.WallScheduler
-	logger    *slog.Logger
-	subnet    subnet
-	ctx       context.Context // ends with the world; all of its goroutines look at it
-	cancel    context.CancelFunc
-	running   sync.WaitGroup // of all goroutines
-	launcher  *launcher
+	options    Options
+	scenario   *emulator.Scenario
+	scheduler  *emulator.WallScheduler
+	logger     *slog.Logger
+	subnet     subnet
+	ctx        context.Context // ends with the world; all of its goroutines look at it
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup // of all goroutines
+	launcher   *launcher
 
 	// What follows belongs to the scheduler.
 
@@ -35,25 +35,25 @@
 	gatewayRandom *rand.Rand
 	attemptRandom *rand.Rand
 
-	endpoints      []*endpoint // by id, from 1: endpoints[0] is that of id 1
-	gateways       []*gateway
-	requests       map[emulator.RequestKey]*request
-	discoveryDown  bool
-	byteFaultShare float64       // of the responses whose bytes are spoilt
-	listSpread     time.Duration // over which agents write a complete list; 0: at once
-	zoneCuts       []int         // by zone: partitions that cut it off from the others now
-	resetShare     float64
-	spoiltShare    float64
-	lastObserved   time.Duration // the time of an observation is never before that of the one before
-
-	ready       chan struct{} // closed when all gateways have become ready for the first time
-	notReady    int           // gateways that have not
-	startFailed chan struct{} // gets something when a gateway ends before it was ready for the first time
-	clients     int           // requests that have a connection or open one
-	unsettled   int           // requests that their clients have sent or will send, and that have no final answer yet
-	loadEnded   bool          // there are no further first tries
-	settled     chan struct{} // closed when the load has ended and nothing is unsettled
-	summary     Summary
+	endpoints        []*endpoint // by id, from 1: endpoints[0] is that of id 1
+	gateways         []*gateway
+	requests         map[emulator.RequestKey]*request
+	discoveryDown    bool
+	byteFaultShare   float64       // of the responses whose bytes are spoilt
+	slowListDuration time.Duration // over which agents write a complete list; 0: at once
+	zonePartitions   []int         // by zone: partitions that cut it off from the others now
+	resetShare       float64
+	spoiltShare      float64
+	lastObserved     time.Duration // the time of an observation is never before that of the one before
+
+	ready             chan struct{} // closed when all gateways have become ready for the first time
+	notReady          int           // gateways that have not
+	startFailed       chan struct{} // gets something when a gateway ends before it was ready for the first time
+	clientConnections int           // requests that have a connection or open one
+	unsettledRequests int           // client requests, sent or scheduled, that have no final outcome yet
+	loadEnded         bool          // there are no further first tries
+	settled           chan struct{} // closed when the load has ended and nothing is unsettled
+	summary           Summary
 }
 
 // Start starts the endpoints, discovery and, if the options name their program, the gateways, and waits until these are
@@ -81,26 +81,26 @@
 		options.Observer = emulator.Observers{}
 	}
 	w := &World{
-		options:       options,
-		scenario:      &options.Scenario,
-		scheduler:     emulator.NewWallScheduler(),
-		logger:        options.Logger,
-		subnet:        newSubnet(),
-		network:       model.NewNetwork(options.Scenario.Network, model.StreamNetwork.Random(options.Seed)),
-		meter:         model.NewMeter(options.Scenario.Meter, model.StreamMeter.Random(options.Seed)),
-		serverRandom:  model.StreamServers.Random(options.Seed),
-		gatewayRandom: model.StreamGateways.Random(options.Seed),
-		attemptRandom: model.StreamAttempts.Random(options.Seed),
-		requests:      map[emulator.RequestKey]*request{},
-		zoneCuts:      make([]int, model.Zones(&options.Scenario)),
-		ready:         make(chan struct{}),
-		notReady:      options.Scenario.Gateways,
-		startFailed:   make(chan struct{}, options.Scenario.Gateways),
-		settled:       make(chan struct{}),
+		options:        options,
+		scenario:       &options.Scenario,
+		scheduler:      emulator.NewWallScheduler(),
+		logger:         options.Logger,
+		subnet:         newSubnet(),
+		network:        model.NewNetwork(options.Scenario.Network, model.StreamNetwork.Random(options.Seed)),
+		meter:          model.NewMeter(options.Scenario.Meter, model.StreamMeter.Random(options.Seed)),
+		serverRandom:   model.StreamServers.Random(options.Seed),
+		gatewayRandom:  model.StreamGateways.Random(options.Seed),
+		attemptRandom:  model.StreamAttempts.Random(options.Seed),
+		requests:       map[emulator.RequestKey]*request{},
+		zonePartitions: make([]int, model.Zones(&options.Scenario)),
+		ready:          make(chan struct{}),
+		notReady:       options.Scenario.Gateways,
+		startFailed:    make(chan struct{}, options.Scenario.Gateways),
+		settled:        make(chan struct{}),
 	}
 	w.ctx, w.cancel = context.WithCancel(ctx)
 	w.discovery = model.NewDiscovery(options.Scenario.Discovery, w.scheduler, model.StreamDiscovery.Random(options.Seed))
-	w.discovery.OnOverdue = w.notified
+	w.discovery.OnOverdue = w.markNotified
 	w.launcher = newLauncher()
 	return w
 }
@@ -158,18 +158,18 @@
 
 // awaitReady waits until all gateways have become ready for the first time. A timeout of 0 is none.
 func (w *World) awaitReady(ctx context.Context, timeout time.Duration) error {
-	var overdue <-chan time.Time
+	var expired <-chan time.Time
 	if timeout > 0 {
 		timer := time.NewTimer(timeout)
 		defer timer.Stop()
-		overdue = timer.C
+		expired = timer.C
 	}
 	select {
 	case <-w.ready:
 		return nil
 	case <-w.startFailed:
 		return fmt.Errorf("%w: one has ended; their logs are in %s", ErrNotReady, w.options.Directory)
-	case <-overdue:
+	case <-expired:
 		return fmt.Errorf("%w; their logs are in %s", ErrNotReady, w.options.Directory)
 	case <-ctx.Done():
 		return context.Cause(ctx)
@@ -206,10 +206,10 @@
 	for _, e := range w.endpoints {
 		e.closeListener()
 		for _, c := range e.connections {
-			reset(c.conn)
+			closeWithReset(c.conn)
 		}
 	}
-	w.running.Wait()
+	w.goroutines.Wait()
 	w.launcher.close()
 }
 
@@ -218,18 +218,18 @@
 	w.options.Observer.Observe(w.lastObserved, observation)
 }
 
-// notified makes a gateway count as notified of entries of the endpoint list.
-func (w *World) notified(gateway int, list []policy.Endpoint) {
-	w.gateways[gateway].notified(list)
+// markNotified records that a gateway counts as notified of entries of the endpoint list.
+func (w *World) markNotified(gateway int, list []policy.Endpoint) {
+	w.gateways[gateway].markNotified(list)
 }
 
 // reachable reports whether packets between a gateway and an endpoint arrive.
 func (w *World) reachable(gateway int, e *endpoint) bool {
-	if e.cuts > 0 {
+	if e.partitions > 0 {
 		return false
 	}
 	zone := w.gateways[gateway].zone
-	return zone == e.zone || w.zoneCuts[zone] == 0 && w.zoneCuts[e.zone] == 0
+	return zone == e.zone || w.zonePartitions[zone] == 0 && w.zonePartitions[e.zone] == 0
 }
 
 // longestDeadline is that of all classes.
--- a/internal/emulator/loopback/world_test.go
+++ b/internal/emulator/loopback/world_test.go
@@ -20,7 +20,7 @@
 
 // No process is left once a world whose context has ended is closed.
 func TestProcessesEndWithTheContext(t *testing.T) {
-	opts, _ := options(t, scenario(time.Minute))
+	opts, _ := newOptions(t, newScenario(time.Minute))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	w, err := Start(ctx, opts)
@@ -51,9 +51,9 @@
 }
 
 // A program that is no gateway, or does not exist, is an error.
-func TestProgramThatIsNoGateway(t *testing.T) {
+func TestStartFailsForProgramThatIsNoGateway(t *testing.T) {
 	for _, program := range []string{"/bin/false", filepath.Join(t.TempDir(), "missing")} {
-		opts, o := options(t, scenario(time.Second))
+		opts, o := newOptions(t, newScenario(time.Second))
 		opts.Gateway = program
 		opts.Logger = slog.New(slog.DiscardHandler)
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
@@ -62,15 +62,15 @@
 		if err == nil {
 			w.Close()
 		}
-		if !errors.Is(err, ErrNotReady) || o.of("GatewayStarted") != 0 {
+		if !errors.Is(err, ErrNotReady) || o.count("GatewayStarted") != 0 {
 			t.Errorf("%s: got %v", program, err)
 		}
 	}
 }
 
 // Gateways that are started by hand with the configurations of the directory are driven like others.
-func TestGatewaysStartedByHand(t *testing.T) {
-	opts, o := options(t, scenario(time.Second))
+func TestManuallyStartedGatewaysServeRequests(t *testing.T) {
+	opts, o := newOptions(t, newScenario(time.Second))
 	opts.Gateway = ""
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
@@ -91,17 +91,17 @@
 	if o.summary, err = w.Drive(ctx); err != nil {
 		t.Fatal(err)
 	}
-	o.wantKept(t)
-	if o.of("answer 1") == 0 || o.summary.GatewayStarts != 0 {
+	o.checkRules(t)
+	if o.count("answer 1") == 0 || o.summary.GatewayStarts != 0 {
 		t.Errorf("%+v %v", o.summary, o.seen)
 	}
 }
 
 // A gateway that makes answers up and sends requests that no client has sent is found out.
-func TestGatewayThatMakesThingsUpIsFoundOut(t *testing.T) {
-	s := scenario(time.Second)
+func TestForgedRequestsAndAnswersAreDetected(t *testing.T) {
+	s := newScenario(time.Second)
 	s.Gateways = 1
-	opts, o := options(t, s)
+	opts, o := newOptions(t, s)
 	opts.Gateway = ""
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
@@ -141,8 +141,8 @@
 	if o.summary, err = w.Drive(ctx); err != nil {
 		t.Fatal(err)
 	}
-	served := o.of("answer 1")
-	if served == 0 || o.of("not genuine") != served || o.summary.UnknownRequests != int64(served) {
+	served := o.count("answer 1")
+	if served == 0 || o.count("not genuine") != served || o.summary.UnknownRequests != int64(served) {
 		t.Errorf("%+v %v", o.summary, o.seen)
 	}
 	if o.checker.Finish(o.last).Kept() {
@@ -151,8 +151,8 @@
 }
 
 // A scenario that is too large for sockets, or invalid, is refused before anything is started.
-func TestScenariosThatAreRefused(t *testing.T) {
-	large := scenario(time.Second)
+func TestStartRejectsTooLargeAndInvalidScenarios(t *testing.T) {
+	large := newScenario(time.Second)
 	large.Gateways = maxGateways + 1
 	var limit *LimitError
 	if _, err := Start(t.Context(), Options{Scenario: large}); !errors.As(err, &limit) || limit.Name != "gateways" {
