--- a/internal/emulator/loopback/client.go
+++ b/internal/emulator/loopback/client.go
@@ -19,29 +19,29 @@
 const (
 	clientDialTimeout = time.Second
 
-	// answerSlack is added to model.AnswerGrace: every time limit is 50 ms longer on sockets.
+	// answerSlack extends model.AnswerGrace: deployments over sockets get 50 ms more for every time limit.
 	answerSlack = 50 * time.Millisecond
 
-	// drainConnectTime is how long after SIGTERM new connections of clients still arrive, and clients go on using those
-	// that they have until these are closed.
+	// drainConnectTime is how long after SIGTERM clients still open new connections to a gateway. They go on using kept
+	// connections until the gateway closes them.
 	drainConnectTime = 300 * time.Millisecond
 )
 
-// clientConnection is a connection of the clients to a gateway.
+// clientConnection is a connection from the clients to a gateway.
 type clientConnection struct {
 	net.Conn
 	reader    *bufio.Reader
-	used      bool          // a request has been answered on it
-	idleSince time.Duration // while it is kept
+	used      bool          // a request has been answered on the connection
+	idleSince time.Duration // when the connection became idle, while it is kept
 }
 
-// deliveryFault is what kept an exchange from being one.
+// deliveryFault is why a gateway has certainly or probably not read a request.
 type deliveryFault uint8
 
 const (
-	deliveryFaultNone         deliveryFault = iota
-	deliveryFaultNoConnection               // the gateway takes no new connection
-	deliveryFaultUnread                     // the gateway has closed a kept connection, as if it had not read the request
+	deliveryFaultNone         deliveryFault = iota // the gateway may have read the request
+	deliveryFaultNoConnection                      // the gateway did not accept a new connection
+	deliveryFaultUnread                            // the gateway closed a kept connection, as if without reading
 )
 
 // outcome is how a client's exchange with a gateway ended.
@@ -50,10 +50,10 @@
 	body         string
 	retryAfter   time.Duration
 	fault        deliveryFault
-	disconnected bool // the client has closed its connection, or sends elsewhere what the gateway has not read
+	disconnected bool // the client closed its connection, or may retry elsewhere what the gateway has not read
 }
 
-// submit sends a try of a client, in the scheduler.
+// submit sends a try of a client: a first request or a retry. It runs in the scheduler.
 func (w *World) submit(arrival model.Arrival) {
 	w.summary.Requests++
 	arrival.Gateway = w.workload.Redirect(&arrival, func(number int) bool { return w.gateways[number].takesRequests() })
@@ -62,7 +62,8 @@
 	w.exchange(r)
 }
 
-// exchange sends a request to its gateway in a goroutine of its own.
+// exchange sends a request to its gateway in a new goroutine. If maxClientConnections are in use, it sends nothing and
+// the request's answer counts as missing.
 func (w *World) exchange(r *request) {
 	g := w.gateways[r.arrival.Gateway]
 	g.openExchanges++
@@ -114,7 +115,8 @@
 	return resend
 }
 
-// performExchange sends the request on a connection and reads the answer. The connection is kept if that is possible.
+// performExchange sends a request on the kept connection, or on a new one if conn is nil, and reads the response. It
+// keeps the connection for later requests if possible.
 func (w *World) performExchange(g *gateway, r *request, conn *clientConnection) outcome {
 	if conn == nil {
 		dialer := net.Dialer{Timeout: clientDialTimeout}
@@ -130,12 +132,12 @@
 	response, body, err := conn.roundTrip(r)
 	if err != nil {
 		result := w.failedOutcome(r, conn, err)
-		_ = conn.Close() // nothing more is expected on it
+		_ = conn.Close() // the exchange is over, so an error does not matter
 		return result
 	}
 	conn.used = true
 	if response.Close || !w.keepIdle(g, conn) {
-		_ = conn.Close() // nothing more is expected on it
+		_ = conn.Close() // the exchange is over, so an error does not matter
 	}
 	return newOutcome(response, body)
 }
@@ -164,13 +166,13 @@
 	return response, string(body), err
 }
 
-// failedOutcome tells what the error of an exchange means: the client gives up, or the connection has ended.
+// failedOutcome returns the outcome of an exchange that failed: the client has given up, or the connection has ended.
 func (w *World) failedOutcome(r *request, conn *clientConnection, err error) outcome {
 	result := outcome{answer: emulator.AnswerMissing}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		result.disconnected = r.arrival.AbandonAt > 0 && w.scheduler.Now() >= r.arrival.AbandonAt
 		if result.disconnected {
-			w.scheduler.Do(func() { w.observeDisconnected(r) }) // before the connection is closed
+			w.scheduler.Do(func() { w.observeDisconnected(r) }) // must precede the close of the connection
 		}
 		return result
 	}
@@ -199,7 +201,7 @@
 	return result
 }
 
-// observeSubmitted observes once that a request comes to its gateway.
+// observeSubmitted observes, once for each request, that the request is sent to its gateway.
 func (w *World) observeSubmitted(r *request) {
 	if r.submissionObserved {
 		return
@@ -217,7 +219,7 @@
 	})
 }
 
-// finishRequest handles the final outcome of a try: the client may send another one.
+// finishRequest handles the final outcome of a try, and schedules the client's retry if there is one.
 func (w *World) finishRequest(r *request, result outcome) {
 	w.gateways[r.arrival.Gateway].exchangeEnded()
 	w.scheduler.After(requestRetention, func() { delete(w.requests, r.arrival.Request) })
@@ -235,7 +237,7 @@
 		})
 	case result.fault != deliveryFaultNone:
 		w.observeDisconnected(r)
-		result.answer = emulator.AnswerRejected // it was never read
+		result.answer = emulator.AnswerRejected // the gateway has not read the request, so a retry is harmless
 	default:
 		w.settleRequest()
 		return
--- a/internal/emulator/loopback/gateway.go
+++ b/internal/emulator/loopback/gateway.go
@@ -21,8 +21,8 @@
 	readyPollInterval  = 20 * time.Millisecond
 	healthCheckTimeout = 500 * time.Millisecond
 
-	// maxDeadlineWait and killMargin: after SIGTERM a gateway is killed no sooner than its longest deadline, which counts
-	// as maxDeadlineWait where it is longer, and killMargin.
+	// maxDeadlineWait limits how long deadlines delay the kill of a gateway that shuts down. The time from SIGTERM to
+	// SIGKILL is the longest deadline of all classes, at most maxDeadlineWait, plus killMargin and Options.KillDelay.
 	maxDeadlineWait = 3 * time.Second
 	killMargin      = 700 * time.Millisecond
 )
@@ -37,7 +37,8 @@
 	gatewayDraining
 )
 
-// gateway is one gateway of the deployment: its process and the front's view of it. Its fields belong to the scheduler.
+// gateway is one gateway of the deployment: its process, and how the load balancer in front of the gateways sees it.
+// Its fields are accessed only in the scheduler.
 type gateway struct {
 	world            *World
 	index            int
@@ -45,26 +46,26 @@
 	address          string
 	configPath       string
 	logPath          string
-	faultControlPath string // control file of builds with seams
+	faultControlPath string // control file for builds with network hooks for fault injection (build tag faultinjection)
 	agent            *agent
 
-	process           *process // nil: none runs
+	process           *process // nil while no process runs
 	state             gatewayState
-	inRotation        bool // the front brings new requests on new connections
-	shutdownRequested bool // it was told to end and is not ready again
-	answersPending    bool // its process has ended, but clients may still read from it
-	restartPending    bool // it is started when its process has ended
-	stopObserved      bool // of the present process
-	startWithoutList  bool // its configuration holds no endpoint list
-	everReady         bool // once
-
-	known           map[policy.EndpointID]policy.Endpoint // of which it counts as notified
-	idleConnections []*clientConnection                   // the one that was used last at the end
-	openExchanges   int                                   // requests of clients without their outcome
-	onExchangesDone func()                                // runs when there is no exchange any more; nil: nothing
+	inRotation        bool // the load balancer routes new connections to the gateway
+	shutdownRequested bool // the gateway was told to shut down and has not become ready again
+	answersPending    bool // the process has ended, but clients may still be reading its answers
+	restartPending    bool // another process is to start when the current one has ended
+	stopObserved      bool // the end of the current process has been observed
+	startWithoutList  bool // the configuration holds no endpoint list
+	everReady         bool // the gateway has been ready at least once
+
+	known           map[policy.EndpointID]policy.Endpoint // entries of which the gateway counts as notified
+	idleConnections []*clientConnection                   // kept connections, the most recently used one last
+	openExchanges   int                                   // requests of clients that have no outcome yet
+	onExchangesDone func()                                // runs when openExchanges falls to 0; nil: nothing runs
 }
 
-// newGateway starts the gateway's view of discovery.
+// newGateway returns a gateway without a process, and starts its agent.
 func newGateway(w *World, index int, address string) (*gateway, error) {
 	name := fmt.Sprintf("gateway-%d", index)
 	g := &gateway{
@@ -104,10 +105,11 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// gatewayLimits are the limits of the deployments that count.
+// gatewayLimits are the resource limits of a gateway in real deployments.
 var gatewayLimits = limitsConfig{Cores: 1, MemoryMB: 192, Sockets: 1024}
 
-// writeConfig writes the configuration with the endpoint list that the gateway held last.
+// writeConfig replaces the gateway's configuration file atomically. The configuration holds the gateway's latest list
+// of endpoints.
 func (g *gateway) writeConfig() error {
 	version, list := g.latestList()
 	if g.startWithoutList {
@@ -133,7 +135,8 @@
 	return os.Rename(temporaryPath, g.configPath)
 }
 
-// latestList returns the list that the gateway's machine has.
+// latestList returns the list of the gateway's agent or, if lists are polled or the agent has none yet, the list of
+// discovery.
 func (g *gateway) latestList() (version uint64, list []policy.Endpoint) {
 	if !g.world.scenario.Discovery.Polled && g.agent.version > 0 {
 		return g.agent.version, g.agent.list()
@@ -141,7 +144,7 @@
 	return g.world.discovery.List()
 }
 
-// start starts the gateway's process, once the one before has ended.
+// start starts a process of the gateway, now or as soon as the previous one has ended.
 func (g *gateway) start() {
 	if g.process != nil || g.answersPending {
 		g.restartPending = true
@@ -167,13 +170,14 @@
 	w.goroutines.Go(func() { g.pollReadiness(p) })
 }
 
-// awaitReadiness waits in the background for a gateway that is started by hand.
+// awaitReadiness waits in the background until a gateway that is started by hand is ready.
 func (g *gateway) awaitReadiness() {
 	g.state = gatewayStarting
 	g.world.goroutines.Go(func() { g.pollReadiness(nil) })
 }
 
-// pollReadiness asks the process for its readiness until it is ready or has ended. Without a process it asks for good.
+// pollReadiness polls the gateway until it is ready, its process has ended or readyTimeout has passed. If p is nil, it
+// polls until the gateway is ready or the world ends.
 func (g *gateway) pollReadiness(p *process) {
 	client := http.Client{Timeout: healthCheckTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	var ended <-chan struct{}
@@ -213,7 +217,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// markReady lets the front bring requests.
+// markReady makes the load balancer route requests to the gateway, if p is its current process.
 func (g *gateway) markReady(p *process) {
 	if g.process != p || g.state != gatewayStarting {
 		return
@@ -223,7 +227,7 @@
 	w.observe(emulator.GatewayStarted{Gateway: g.index})
 	_, list := g.latestList()
 	if w.slowListDuration > 0 {
-		g.agent.notify(list) // it is still on its way
+		g.agent.notify(list) // the gateway may still be reading a list that is written slowly
 	} else {
 		g.markNotified(list)
 	}
@@ -253,13 +257,13 @@
 	}
 }
 
-// knowsStart reports whether the gateway counts as notified of the last start of an endpoint.
+// knowsStart reports whether the gateway counts as notified of the latest start of an endpoint.
 func (g *gateway) knowsStart(e *endpoint) bool {
 	entry, known := g.known[e.id]
 	return known && entry.State != policy.StateRemoved && entry.StartedAt == e.server.StartedAt()
 }
 
-// killByFault ends the process at once, as a crash does.
+// killByFault kills the process, as a crash would end it.
 func (g *gateway) killByFault() {
 	if g.process == nil || g.state == gatewayDown {
 		return
@@ -271,7 +275,7 @@
 	g.scheduleRemoval()
 }
 
-// shutDownAndRestart ends the process gracefully and starts another one when it has ended.
+// shutDownAndRestart shuts the process down gracefully and starts another one when it has ended.
 func (g *gateway) shutDownAndRestart() {
 	if g.process == nil || g.state != gatewayReady {
 		return
@@ -298,7 +302,7 @@
 	}
 }
 
-// processEnded handles that the process has ended, for whatever reason.
+// processEnded handles the end of the process, whatever its cause.
 func (g *gateway) processEnded(err error) {
 	w := g.world
 	g.process = nil
@@ -308,7 +312,7 @@
 		w.logger.Error("a gateway has ended", "gateway", g.index, "log", g.logPath, "err", err)
 	}
 	if crashed && !g.everReady {
-		w.startFailed <- struct{}{} // has room for one of each gateway, which is not started again
+		w.startFailed <- struct{}{} // never blocks: there is room for one item per gateway, which is not restarted
 	}
 	g.state = gatewayDown
 	if g.shutdownRequested {
@@ -327,7 +331,7 @@
 	})
 }
 
-// observeStopped observes the end of the present process once.
+// observeStopped observes the end of the current process once.
 func (g *gateway) observeStopped(killed bool) {
 	if !g.stopObserved {
 		g.stopObserved = true
@@ -335,7 +339,8 @@
 	}
 }
 
-// scheduleRemoval lets the front notice after a while that the gateway is down.
+// scheduleRemoval makes the load balancer stop routing to the gateway after network.front_delay, unless the gateway is
+// ready again by then or has started another process.
 func (g *gateway) scheduleRemoval() {
 	failedProcess := g.process
 	g.world.scheduler.After(g.world.scenario.Network.FrontDelay.Of(), func() {
@@ -355,21 +360,21 @@
 	g.onExchangesDone = run
 }
 
-// exchangeEnded records that a client has its outcome.
+// exchangeEnded records that a client request to the gateway has its outcome.
 func (g *gateway) exchangeEnded() {
 	g.openExchanges--
 	if run := g.onExchangesDone; run != nil && g.openExchanges == 0 {
 		g.onExchangesDone = nil
-		g.world.scheduler.After(0, run) // after the outcome has been observed
+		g.world.scheduler.After(0, run) // runs after the outcome has been observed
 	}
 }
 
-// acceptsConnections reports whether the process can take new connections.
+// acceptsConnections reports whether the process can accept new connections.
 func (g *gateway) acceptsConnections() bool {
 	return g.state == gatewayReady || g.state == gatewayDraining
 }
 
-// takesRequests reports whether the front brings requests: on new connections or on those that are open.
+// takesRequests reports whether the load balancer can route requests to the gateway, on new or on kept connections.
 func (g *gateway) takesRequests() bool {
 	if g.inRotation {
 		return true
--- a/internal/emulator/loopback/idle.go
+++ b/internal/emulator/loopback/idle.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// clientIdleTimeout is how long clients keep a connection that they do not use.
+// clientIdleTimeout is how long clients keep an idle connection.
 const clientIdleTimeout = 30 * time.Second
 
-// takeIdle returns the kept connection that was used last, or nil. Those that the gateway has closed are dropped.
+// takeIdle removes and returns the kept connection that was used last, or returns nil if there is none. It drops
+// connections that the gateway has closed.
 func (g *gateway) takeIdle() *clientConnection {
 	for len(g.idleConnections) > 0 {
 		last := len(g.idleConnections) - 1
 		conn := g.idleConnections[last]
-		g.idleConnections[last] = nil // frees the connection
+		g.idleConnections[last] = nil // lets the connection be garbage-collected
 		g.idleConnections = g.idleConnections[:last]
 		if !peerHasClosed(conn.Conn) {
 			return conn
 		}
-		_ = conn.Close() // nothing is expected on it
+		_ = conn.Close() // the connection is idle, so an error does not matter
 	}
 	return nil
 }
 
-// keepIdle keeps a connection for a later request. It fails if the gateway's process or the world has ended.
+// keepIdle keeps a connection for a later request. It reports false if the gateway's process or the world has ended.
 func (w *World) keepIdle(g *gateway, conn *clientConnection) (kept bool) {
 	w.scheduler.Do(func() {
 		if !g.acceptsConnections() {
@@ -34,10 +35,11 @@
 	return kept
 }
 
-// closeExpiredIdle closes the connections that have not been used for long, which are the first ones.
+// closeExpiredIdle closes the connections that have been idle for longer than clientIdleTimeout. They come first in
+// idleConnections.
 func (g *gateway) closeExpiredIdle(now time.Duration) {
 	for len(g.idleConnections) > 0 && now-g.idleConnections[0].idleSince > clientIdleTimeout {
-		_ = g.idleConnections[0].Close() // nothing is expected on it
+		_ = g.idleConnections[0].Close() // the connection is idle, so an error does not matter
 		g.idleConnections = g.idleConnections[1:]
 	}
 }
@@ -45,7 +47,7 @@
 // closeIdle closes all kept connections.
 func (g *gateway) closeIdle() {
 	for _, conn := range g.idleConnections {
-		_ = conn.Close() // nothing is expected on it
+		_ = conn.Close() // the connection is idle, so an error does not matter
 	}
 	g.idleConnections = nil
 }
--- a/internal/emulator/loopback/log_pipe.go
+++ b/internal/emulator/loopback/log_pipe.go
@@ -6,17 +6,19 @@
 	"syscall"
 )
 
-// logPipe carries the log of a process into a file. Its reader may leave, or stop reading for a while.
+// logPipe copies the log of a process through a pipe into a file. Its reading end can be closed, or stop reading for a
+// while.
 type logPipe struct {
 	reader, writer *os.File
 	file           *os.File
-	copyDone       chan struct{} // closed when nothing more is read
+	copyDone       chan struct{} // closed when copying to the file has ended
 
 	mu      sync.Mutex
-	stalled chan struct{} // not nil while nothing is read; closed when reading goes on
+	stalled chan struct{} // not nil while reading is suspended; closed when reading resumes
 }
 
-// newLogPipe opens a pipe in blocking mode, as supervisors give it to their processes, and the file.
+// newLogPipe opens the log file and a pipe whose writing end is in blocking mode, as process supervisors pass it to
+// their processes.
 func newLogPipe(path string) (*logPipe, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -24,12 +26,12 @@
 	}
 	var descriptors [2]int
 	if err := syscall.Pipe2(descriptors[:], syscall.O_CLOEXEC); err != nil {
-		_ = file.Close() // nothing has been written
+		_ = file.Close() // nothing has been written, so an error loses nothing
 		return nil, os.NewSyscallError("pipe2", err)
 	}
-	// The reading end alone is in non-blocking mode, so that closing it ends a read.
+	// Only the reading end is in non-blocking mode, so that closing it ends a pending read.
 	if err := syscall.SetNonblock(descriptors[0], true); err != nil {
-		_ = file.Close() // nothing has been written
+		_ = file.Close() // nothing has been written, so an error loses nothing
 		return nil, os.NewSyscallError("fcntl", err)
 	}
 	p := &logPipe{
@@ -54,7 +56,7 @@
 		}
 		n, err := p.reader.Read(buffer)
 		if n > 0 {
-			_, _ = p.file.Write(buffer[:n]) // the log is for people; the run goes on without it
+			_, _ = p.file.Write(buffer[:n]) // the log is only diagnostic, so the run goes on without it
 		}
 		if err != nil {
 			return
@@ -62,10 +64,10 @@
 	}
 }
 
-// closeReader closes the reading end.
-func (p *logPipe) closeReader() { _ = p.reader.Close() } // fails if it has left before
+// closeReader closes the reading end of the pipe.
+func (p *logPipe) closeReader() { _ = p.reader.Close() } // fails only if it is closed already
 
-// stall stops reading, and fills the pipe, until resume is called.
+// stall suspends reading from the pipe until resume is called.
 func (p *logPipe) stall() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,7 +76,7 @@
 	}
 }
 
-// fill writes to the pipe until it is full.
+// fill writes to the pipe until it is full, so that the next write of the process blocks.
 func (p *logPipe) fill() {
 	fd := int(p.writer.Fd())
 	if syscall.SetNonblock(fd, true) != nil {
@@ -86,10 +88,10 @@
 			break
 		}
 	}
-	_ = syscall.SetNonblock(fd, false) // as it was; it succeeded before
+	_ = syscall.SetNonblock(fd, false) // restores blocking mode; the call before it succeeded
 }
 
-// resume reads again.
+// resume continues reading from the pipe after stall.
 func (p *logPipe) resume() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,11 +101,12 @@
 	}
 }
 
-// close ends the pipe once the process has ended: what it has written is in the file then.
+// close closes the pipe and the file. It is called once the process has ended, and waits until everything that the
+// process wrote is in the file.
 func (p *logPipe) close() {
 	p.resume()
-	_ = p.writer.Close() // this process has written nothing
+	_ = p.writer.Close() // data in the pipe can still be read, so an error loses nothing
 	<-p.copyDone
-	_ = p.reader.Close() // the reader may have left
-	_ = p.file.Close()   // the log is for people
+	_ = p.reader.Close() // the reading end may be closed already
+	_ = p.file.Close()   // the log is only diagnostic
 }
--- a/internal/emulator/loopback/options.go
+++ b/internal/emulator/loopback/options.go
@@ -9,58 +9,59 @@
 	"springfield/internal/emulator"
 )
 
-// Options describes a run.
+// Options configures a run.
 type Options struct {
 	Scenario emulator.Scenario
 	Seed     uint64
 
-	// Gateway is the path of the gateway's program. If it is empty, no gateway is started: the configurations are
-	// written to Directory for gateways that are started by hand, and faults of gateways are left out.
+	// Gateway is the path of the gateway's program. If it is empty, the world starts no gateways: it writes the
+	// configurations to Directory for gateways that are started by hand, and skips faults of gateways.
 	Gateway     string
-	GatewayArgs []string // arguments of the program, none as a rule
+	GatewayArgs []string // arguments of the gateway's program, usually none
 
-	// ClockOffset is by how much the wall clock of the endpoints' machines differs from that of the gateways'.
+	// ClockOffset is how far the wall clock of the endpoints' machines is ahead of that of the gateways' machines.
 	ClockOffset time.Duration
 
-	// ColdStart starts all endpoints together with the gateways; otherwise they have run for long.
+	// ColdStart starts all endpoints together with the gateways. Without it, the endpoints have been running for a long
+	// time and are warm.
 	ColdStart bool
 
-	// KillDelay is added to the time after which a gateway that shuts down is killed.
+	// KillDelay is added to the time from SIGTERM to SIGKILL of a gateway that shuts down.
 	KillDelay time.Duration
 
-	Directory string            // for the configurations and logs of the gateways; it must exist
-	Observer  emulator.Observer // nil: none
+	Directory string            // directory of the gateways' configurations and logs; it must exist
+	Observer  emulator.Observer // receives the observations of the run; nil: none does
 	Logger    *slog.Logger      // nil: slog.Default()
 }
 
-// Summary tells what a run did.
+// Summary holds the totals of a run.
 type Summary struct {
-	Requests          int64         // that clients sent, their retries included
-	Attempts          int64         // that reached endpoints
-	FailedDials       int64         // connections of clients that no gateway took
-	UnknownRequests   int64         // attempts that no client sent in this form
-	GatewayStarts     int           // processes
-	GatewayCrashes    int           // processes that ended without being told to
-	LoadTime          time.Duration // from the begin of the load until the last answer
-	DrainsKilled      int           // processes that had not ended when SIGKILL might come after SIGTERM
-	ReadinessTimeouts int           // gateways that did not become ready in time after a restart
+	Requests          int64         // requests that clients sent, including their retries
+	Attempts          int64         // attempts that reached endpoints
+	FailedDials       int64         // requests of clients for which no connection to a gateway was made
+	UnknownRequests   int64         // attempts that match no request of a client
+	GatewayStarts     int           // gateway processes that were started
+	GatewayCrashes    int           // gateway processes that ended without being told to
+	LoadTime          time.Duration // from the start of the load until the last answer
+	DrainsKilled      int           // gateway processes still running when SIGKILL was due after SIGTERM
+	ReadinessTimeouts int           // gateway processes that did not become ready in time
 }
 
-// Addresses names the sockets of a deployment.
+// Addresses lists the socket addresses of a deployment.
 type Addresses struct {
 	Gateways  []GatewayAddress
-	Endpoints []string // in the order of their ids
+	Endpoints []string // in the order of endpoint IDs
 }
 
-// GatewayAddress names the sockets and files of one gateway.
+// GatewayAddress holds the socket addresses and file paths of one gateway.
 type GatewayAddress struct {
-	Listen    string // for clients
-	Discovery string // of its agent
-	Config    string // path of its configuration, the value of RELAY_CONFIG
-	Log       string // path of its log
+	Listen    string // address for clients
+	Discovery string // address of the gateway's agent
+	Config    string // path of the gateway's configuration, the value of RELAY_CONFIG
+	Log       string // path of the gateway's log
 }
 
-// Limits of a run, which keep it from using up the machine.
+// Limits of a run, which keep it from exhausting the machine.
 const (
 	maxGateways          = 64
 	maxEndpoints         = 512
@@ -68,22 +69,22 @@
 	maxLength            = time.Hour
 )
 
-// LimitError says that a scenario is too large for sockets on one machine.
+// LimitError reports that a scenario is too large to run over sockets on one machine.
 type LimitError struct {
-	Name  string // of what there is too much
-	Limit string
+	Name  string // what exceeds the limit, in the plural
+	Limit string // highest allowed number or length
 }
 
-// Error names the limit.
+// Error names what exceeds its limit, and the limit.
 func (e *LimitError) Error() string {
-	return fmt.Sprintf("the scenario has too many or too long %s for a run over sockets: at most %s", e.Name, e.Limit)
+	return fmt.Sprintf("the scenario exceeds the limits of a run over sockets: %s must be at most %s", e.Name, e.Limit)
 }
 
-// Errors of a run.
+// Errors that a run returns.
 var (
-	// ErrNotReady says that gateways did not become ready.
+	// ErrNotReady reports that gateways did not become ready.
 	ErrNotReady = errors.New("gateways did not become ready in time")
-	// ErrUnanswered says that clients were still waiting when the run had to end.
+	// ErrUnanswered reports that clients were still waiting when the run had to end.
 	ErrUnanswered = errors.New("requests were still open at the end of the run")
 )
 
--- a/internal/emulator/loopback/process.go
+++ b/internal/emulator/loopback/process.go
@@ -13,21 +13,21 @@
 	"springfield/internal/faultinjection"
 )
 
-// configVariable names the configuration of a gateway in its environment. Variables with its prefix that this process
-// has are not passed on: they would precede the configuration.
+// configVariable is the environment variable that holds the path of a gateway's configuration. Other variables with
+// variablePrefix are not passed on from this process, because they would take precedence over the configuration.
 const (
 	configVariable = "RELAY_CONFIG"
 	variablePrefix = "RELAY_"
 )
 
-// launcher starts processes on a thread of its own that lives as long as the world: the kernel ends them with that
-// thread, so that they end even if this process is killed.
+// launcher starts processes from a thread of its own that lives as long as the world. The kernel kills the processes
+// when that thread ends (Pdeathsig), so that they end even if this process is killed.
 type launcher struct{ starts chan func() }
 
 func newLauncher() *launcher {
 	l := &launcher{starts: make(chan func())}
 	go func() {
-		runtime.LockOSThread() // for good: the thread ends with this goroutine
+		runtime.LockOSThread() // never unlocked, so that the thread ends with this goroutine
 		for start := range l.starts {
 			start()
 		}
@@ -35,17 +35,17 @@
 	return l
 }
 
-// start starts a command.
+// start starts a command from the launcher's thread.
 func (l *launcher) start(command *exec.Cmd) error {
 	result := make(chan error, 1)
 	l.starts <- func() { result <- command.Start() }
 	return <-result
 }
 
-// close ends the thread once all processes have ended.
+// close ends the thread. It is called when all processes have ended.
 func (l *launcher) close() { close(l.starts) }
 
-// process is one process of a gateway, in a process group of its own. Its methods may be called by any goroutine.
+// process is one process of a gateway, in a process group of its own. Its methods are safe for concurrent use.
 type process struct {
 	command *exec.Cmd
 	log     *logPipe
@@ -53,17 +53,17 @@
 
 	mu            sync.Mutex
 	running       bool
-	killRequested bool // it is to be killed, perhaps before it has started
+	killRequested bool // kill was called, perhaps before the process started
 }
 
-// processPaths are the files of a gateway's process.
+// processPaths holds the paths of the files of a gateway's process.
 type processPaths struct {
 	config       string
 	log          string
-	faultControl string // control file of builds with seams
+	faultControl string // control file for builds with network hooks for fault injection (build tag faultinjection)
 }
 
-// newProcess prepares a process that is killed at the latest when ctx ends.
+// newProcess prepares a process that is killed when ctx ends, unless it has ended before.
 func newProcess(ctx context.Context, program string, arguments []string, paths processPaths) (*process, error) {
 	log, err := newLogPipe(paths.log)
 	if err != nil {
@@ -80,7 +80,7 @@
 	return p, nil
 }
 
-// gatewayEnvironment returns the variables that are passed on to gateways.
+// gatewayEnvironment returns the environment variables that are passed on to gateways.
 func gatewayEnvironment(environment []string) []string {
 	passed := make([]string, 0, len(environment))
 	for _, variable := range environment {
@@ -103,7 +103,7 @@
 	p.mu.Lock()
 	p.running = true
 	if p.killRequested {
-		_ = killGroup(p.command.Process.Pid) // it has not been waited for: its id is its own
+		_ = killGroup(p.command.Process.Pid) // Wait has not been called, so no other process can have this ID
 	}
 	p.mu.Unlock()
 	err := p.command.Wait()
@@ -119,11 +119,11 @@
 	defer p.mu.Unlock()
 	p.killRequested = true
 	if p.running {
-		_ = killGroup(p.command.Process.Pid) // fails only if it has just ended
+		_ = killGroup(p.command.Process.Pid) // fails only if the process has just ended
 	}
 }
 
-// signal sends a signal to the process. One that has not started or has ended gets none.
+// signal sends a signal to the process. It returns os.ErrProcessDone if the process has not started or has ended.
 func (p *process) signal(signal syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/emulator/loopback/process_faults.go
+++ b/internal/emulator/loopback/process_faults.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// The methods in this file make faults of gateway processes and of their machines, for runs that go beyond the fault
+// The methods in this file inject faults into gateway processes and their machines, for runs that go beyond the fault
 // schedule of a scenario. They may be called from any goroutine while the world runs.
 
-// PauseGateway stops the process of a gateway for a time, as a busy machine does.
+// PauseGateway suspends the process of a gateway for a time, as an overloaded machine may do.
 func (w *World) PauseGateway(index int, length time.Duration) {
 	w.scheduler.Do(func() {
 		g := w.gateways[index]
@@ -17,11 +17,11 @@
 		if p == nil || p.signal(syscall.SIGSTOP) != nil {
 			return
 		}
-		w.scheduler.After(length, func() { _ = p.signal(syscall.SIGCONT) }) // fails only once it has ended
+		w.scheduler.After(length, func() { _ = p.signal(syscall.SIGCONT) }) // fails only if the process has ended
 	})
 }
 
-// CloseLog closes the reading end of the log of a gateway's present process.
+// CloseLog closes the reading end of the log pipe of a gateway's current process.
 func (w *World) CloseLog(index int) {
 	w.scheduler.Do(func() {
 		if p := w.gateways[index].process; p != nil {
@@ -30,7 +30,7 @@
 	})
 }
 
-// StallLog reads nothing of the log of a gateway's present process for a time. The pipe is full at once.
+// StallLog fills the log pipe of a gateway's current process and suspends reading from it for a time.
 func (w *World) StallLog(index int, length time.Duration) {
 	w.scheduler.Do(func() {
 		p := w.gateways[index].process
@@ -43,8 +43,8 @@
 	})
 }
 
-// HalfWriteConfig writes the configuration of a gateway in place, stops in the middle, sends SIGHUP and writes the rest
-// after a time.
+// HalfWriteConfig overwrites the configuration of a gateway in place with its first half, sends SIGHUP and writes the
+// complete configuration after a time.
 func (w *World) HalfWriteConfig(index int, length time.Duration) {
 	w.scheduler.Do(func() {
 		g := w.gateways[index]
@@ -63,8 +63,8 @@
 	})
 }
 
-// FailSystemCalls makes system calls of a gateway fail for a time, if its program has the seams for it. faults are
-// lines of the control file.
+// FailSystemCalls makes system calls of a gateway fail for a time, if its program is built with network hooks for fault
+// injection (build tag faultinjection). faults holds lines of the control file, which package faultinjection describes.
 func (w *World) FailSystemCalls(index int, faults string, length time.Duration) {
 	w.scheduler.Do(func() {
 		g := w.gateways[index]
@@ -83,11 +83,11 @@
 	})
 }
 
-// SlowLists makes agents write complete lists slowly for a time, over so long each.
+// SlowLists makes agents write complete lists slowly for the time length. Writing each list takes the time spread.
 func (w *World) SlowLists(spread, length time.Duration) {
 	w.scheduler.Do(func() {
 		w.slowListDuration = spread
-		for _, g := range w.gateways { // what they cannot have read does not count as notified
+		for _, g := range w.gateways { // a gateway does not count as notified of a list that it cannot have read yet
 			g.agent.deferUntil = max(g.agent.deferUntil, w.scheduler.Now()+length+spread+silenceNotificationDelay)
 		}
 		w.scheduler.After(length, func() { w.slowListDuration = 0 })
@@ -105,8 +105,8 @@
 	})
 }
 
-// ShutDownGateways sends SIGTERM to all processes and waits until they have ended, up to a timeout. It reports how many
-// have not.
+// ShutDownGateways sends SIGTERM to all gateway processes and waits up to a timeout until they have ended. It returns
+// how many processes it has not seen end.
 func (w *World) ShutDownGateways(timeout time.Duration) (remaining int) {
 	var processes []*process
 	w.scheduler.Do(func() {
--- a/internal/emulator/loopback/run.go
+++ b/internal/emulator/loopback/run.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// loadDelay is the time from the begin of Drive until the load begins.
+	// loadDelay is the time from the readiness of all gateways in Drive until the load begins.
 	loadDelay = 200 * time.Millisecond
 
 	// settleTimeout is how long after the last deadline a run may go on until all clients have their outcome.
 	settleTimeout = 10 * time.Second
 )
 
-// Run plays a scenario until its load is over and all of its requests are answered. If ctx ends before, it returns what
-// was done until then and the error of ctx. No gateway process is left when it returns.
+// Run runs a scenario until its load is over and all of its requests are answered. If ctx ends first, it returns the
+// totals so far and the error of ctx. No gateway process is left when it returns.
 func Run(ctx context.Context, options Options) (Summary, error) {
 	w, err := Start(ctx, options)
 	if err != nil {
@@ -27,8 +27,8 @@
 	return w.Drive(ctx)
 }
 
-// Drive plays the load and the faults of the scenario. It is called once. Gateways that are started by hand may become
-// ready while it waits for them.
+// Drive runs the load and the faults of the scenario. It must be called only once. It first waits until all gateways
+// are ready, including those that are started by hand.
 func (w *World) Drive(ctx context.Context) (Summary, error) {
 	if err := w.awaitReady(ctx, 0); err != nil {
 		return w.Summary(), err
@@ -45,7 +45,7 @@
 		err = ErrUnanswered
 	case <-ctx.Done():
 		err = errors.Join(ctx.Err(), context.Cause(ctx))
-	case <-w.ctx.Done(): // closed, or the context of Start has ended
+	case <-w.ctx.Done(): // the world was closed, or the context of Start has ended
 		err = context.Cause(w.ctx)
 	}
 	summary := w.Summary()
@@ -53,7 +53,7 @@
 	return summary, err
 }
 
-// Summary returns what has been done so far.
+// Summary returns the totals of the run so far.
 func (w *World) Summary() Summary {
 	var summary Summary
 	w.scheduler.Do(func() { summary = w.summary })
@@ -71,7 +71,7 @@
 	w.scheduleNextArrival()
 }
 
-// scheduleNextArrival schedules the next first try of a client, which schedules the one after it.
+// scheduleNextArrival schedules the next first try of a client. When that try is sent, it schedules the one after it.
 func (w *World) scheduleNextArrival() {
 	arrival, ok := w.workload.Next()
 	if !ok {
@@ -86,7 +86,7 @@
 	})
 }
 
-// settleRequest records that a client has its outcome and sends no further try.
+// settleRequest records that a client has the outcome of a request and does not retry it.
 func (w *World) settleRequest() {
 	w.unsettledRequests--
 	w.checkSettled()
--- a/internal/emulator/loopback/world.go
+++ b/internal/emulator/loopback/world.go
@@ -20,12 +20,12 @@
 	scheduler  *emulator.WallScheduler
 	logger     *slog.Logger
 	subnet     subnet
-	ctx        context.Context // ends with the world; all of its goroutines look at it
+	ctx        context.Context // ends with the world and ends its goroutines
 	cancel     context.CancelFunc
-	goroutines sync.WaitGroup // of all goroutines
+	goroutines sync.WaitGroup // goroutines that Close waits for
 	launcher   *launcher
 
-	// What follows belongs to the scheduler.
+	// The fields below are accessed only in the scheduler.
 
 	network       *model.Network
 	meter         *model.Meter
@@ -35,29 +35,29 @@
 	gatewayRandom *rand.Rand
 	attemptRandom *rand.Rand
 
-	endpoints        []*endpoint // by id, from 1: endpoints[0] is that of id 1
+	endpoints        []*endpoint // in the order of IDs, which begin at 1: endpoints[0] has ID 1
 	gateways         []*gateway
 	requests         map[emulator.RequestKey]*request
 	discoveryDown    bool
-	byteFaultShare   float64       // of the responses whose bytes are spoilt
-	slowListDuration time.Duration // over which agents write a complete list; 0: at once
-	zonePartitions   []int         // by zone: partitions that cut it off from the others now
-	resetShare       float64
-	spoiltShare      float64
-	lastObserved     time.Duration // the time of an observation is never before that of the one before
+	byteFaultShare   float64       // share of the responses that get a byteFault
+	slowListDuration time.Duration // how long agents take to write a complete list; 0: they write it at once
+	zonePartitions   []int         // by zone: active partitions that separate the zone from the other zones
+	resetShare       float64       // share of the attempts whose connection is reset
+	spoiltShare      float64       // share of the responses that are truncated or followed by an unsolicited one
+	lastObserved     time.Duration // time of the latest observation, so that no later one has an earlier time
 
 	ready             chan struct{} // closed when all gateways have become ready for the first time
-	notReady          int           // gateways that have not
-	startFailed       chan struct{} // gets something when a gateway ends before it was ready for the first time
-	clientConnections int           // requests that have a connection or open one
+	notReady          int           // gateways that have never been ready
+	startFailed       chan struct{} // receives an item when a gateway ends before it was ever ready
+	clientConnections int           // client requests that have a connection or are opening one
 	unsettledRequests int           // client requests, sent or scheduled, that have no final outcome yet
-	loadEnded         bool          // there are no further first tries
-	settled           chan struct{} // closed when the load has ended and nothing is unsettled
+	loadEnded         bool          // the workload has no further first tries
+	settled           chan struct{} // closed when the load has ended and no request is unsettled
 	summary           Summary
 }
 
-// Start starts the endpoints, discovery and, if the options name their program, the gateways, and waits until these are
-// ready. The caller ends the world with Close; it also ends with ctx.
+// Start starts the endpoints and discovery. If the options name the gateways' program, it also starts the gateways and
+// waits until they are ready. The caller ends the world with Close; it also ends with ctx.
 func Start(ctx context.Context, options Options) (*World, error) {
 	if err := model.Validate(&options.Scenario); err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
@@ -153,10 +153,10 @@
 	return nil
 }
 
-// startsGateways reports whether the gateways are processes of this world.
+// startsGateways reports whether the world starts the gateway processes itself.
 func (w *World) startsGateways() bool { return w.options.Gateway != "" }
 
-// awaitReady waits until all gateways have become ready for the first time. A timeout of 0 is none.
+// awaitReady waits until all gateways have become ready for the first time. It waits without a limit if timeout is 0.
 func (w *World) awaitReady(ctx context.Context, timeout time.Duration) error {
 	var expired <-chan time.Time
 	if timeout > 0 {
@@ -168,15 +168,15 @@
 	case <-w.ready:
 		return nil
 	case <-w.startFailed:
-		return fmt.Errorf("%w: one has ended; their logs are in %s", ErrNotReady, w.options.Directory)
+		return fmt.Errorf("%w: a gateway process has ended; the logs are in %s", ErrNotReady, w.options.Directory)
 	case <-expired:
-		return fmt.Errorf("%w; their logs are in %s", ErrNotReady, w.options.Directory)
+		return fmt.Errorf("%w; the logs are in %s", ErrNotReady, w.options.Directory)
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
 }
 
-// Addresses returns where the parts of the deployment are reached.
+// Addresses returns the socket addresses of the deployment.
 func (w *World) Addresses() Addresses {
 	var addresses Addresses
 	w.scheduler.Do(func() {
@@ -197,8 +197,8 @@
 
 // Close ends the gateway processes and closes all sockets. It returns once no goroutine of the world runs any more.
 func (w *World) Close() {
-	w.cancel()         // kills the processes, too
-	w.scheduler.Stop() // from here on the fields of the scheduler belong to this goroutine
+	w.cancel()         // also kills the processes
+	w.scheduler.Stop() // no scheduled function runs after this, so the fields can be read here
 	for _, g := range w.gateways {
 		g.agent.close()
 		g.closeIdle()
@@ -223,7 +223,7 @@
 	w.gateways[gateway].markNotified(list)
 }
 
-// reachable reports whether packets between a gateway and an endpoint arrive.
+// reachable reports whether no partition separates a gateway from an endpoint.
 func (w *World) reachable(gateway int, e *endpoint) bool {
 	if e.partitions > 0 {
 		return false
@@ -232,7 +232,7 @@
 	return zone == e.zone || w.zonePartitions[zone] == 0 && w.zonePartitions[e.zone] == 0
 }
 
-// longestDeadline is that of all classes.
+// longestDeadline returns the longest deadline of all classes.
 func (w *World) longestDeadline() time.Duration {
 	var longest time.Duration
 	for i := range w.scenario.Classes {
