--- a/internal/emulator/loopback/faults_test.go
+++ b/internal/emulator/loopback/faults_test.go
@@ -18,7 +18,8 @@
 	}
 }
 
-// A killed gateway comes back, and one that is shut down answers what it has taken. The rules are kept.
+// A gateway that is killed, and one that is shut down, must start again. The gateway that is shut down must first
+// answer the requests that it has received, and no rule may be broken.
 func TestKilledAndRestartedGatewaysStartAgain(t *testing.T) {
 	o := runScenario(t, newScenario(4*time.Second,
 		newFault(emulator.FaultKillGateways, 300*time.Millisecond, 500*time.Millisecond, 0.5, 0),
@@ -26,11 +27,11 @@
 	))
 	o.checkRules(t)
 	if o.summary.GatewayStarts != 4 || o.count("GatewayStarted") < 3 || o.count("GatewayStopped") != 2 {
-		t.Errorf("%+v %v", o.summary, o.seen)
+		t.Errorf("want 4 processes, at least 3 of them ready, and 2 stops: %+v %v", o.summary, o.seen)
 	}
 }
 
-// Gateways follow discovery to another address, and learn there which endpoints drain and which are new.
+// Gateways must follow discovery to another address and learn there which endpoints drain and which are new.
 func TestGatewaysFollowMovedDiscoveryAndReplacedEndpoints(t *testing.T) {
 	o := runScenario(t, newScenario(4*time.Second,
 		newFault(emulator.FaultDiscoveryMoves, 200*time.Millisecond, 0, 0, 0),
@@ -39,11 +40,12 @@
 	))
 	o.checkRules(t)
 	if o.count("EndpointStarted") != 6 || o.count("FaultChanged") != 6 {
-		t.Errorf("%+v %v", o.summary, o.seen)
+		t.Errorf("want 6 endpoint starts and 6 fault changes: %+v %v", o.summary, o.seen)
 	}
 }
 
-// Endpoints that crash, hang, fail, lose connections and spoil answers, and partitions, break no rule.
+// Endpoints that crash, hang, fail, reset connections or spoil answers, partitions and a silent meter must not make a
+// gateway break a rule or pass on a false answer.
 func TestEndpointFaultsBreakNoRule(t *testing.T) {
 	o := runScenario(t, newScenario(4*time.Second,
 		newFault(emulator.FaultStopEndpoints, 200*time.Millisecond, time.Second, 0.25, 0),
@@ -56,26 +58,26 @@
 	))
 	o.checkRules(t)
 	if o.count("EndpointStopped") != 1 || o.count("status 5") == 0 || o.count("not genuine") != 0 {
-		t.Errorf("%+v %v", o.summary, o.seen)
+		t.Errorf("want 1 endpoint stop, attempts that ended in a reset and only genuine answers: %+v %v", o.summary, o.seen)
 	}
 }
 
-// Clients that leave early are told from those whose connection the gateway has closed.
+// A client that disconnects early must be observed as disconnected, not as one whose connection the gateway closed.
 func TestEarlyClientDisconnectsAreObserved(t *testing.T) {
 	s := newScenario(2 * time.Second)
 	s.Clients.Abandon = 1
-	s.Endpoints.Cores, s.Endpoints.Slots = 1, 2 // slow: most clients leave before their answer
+	s.Endpoints.Cores, s.Endpoints.Slots = 1, 2 // so slow that most clients disconnect before their answer
 	for i := range s.Classes {
 		s.Classes[i].Work *= 8
 	}
 	o := runScenario(t, s)
 	o.checkRules(t)
 	if o.count("ClientDisconnected") == 0 {
-		t.Errorf("%+v %v", o.summary, o.seen)
+		t.Errorf("no client disconnected: %+v %v", o.summary, o.seen)
 	}
 }
 
-// Lists that must be asked for reach the gateways too.
+// Gateways must get the endpoint lists also if they have to poll discovery for them.
 func TestPolledDiscoveryDeliversLists(t *testing.T) {
 	s := newScenario(2*time.Second, newFault(emulator.FaultDrainEndpoints, 200*time.Millisecond, time.Minute, 0.25, 0))
 	s.Discovery.Polled = true
@@ -83,6 +85,6 @@
 	o := runScenario(t, s)
 	o.checkRules(t)
 	if o.count("answer 1") == 0 {
-		t.Errorf("%+v %v", o.summary, o.seen)
+		t.Errorf("no request was served: %+v %v", o.summary, o.seen)
 	}
 }
--- a/internal/emulator/loopback/harness_test.go
+++ b/internal/emulator/loopback/harness_test.go
@@ -17,13 +17,13 @@
 	"springfield/internal/emulator/model"
 )
 
-// testTimeout bounds everything that a test waits for. It is far longer than a test takes.
+// testTimeout limits how long a test waits. It is far longer than any test takes.
 const testTimeout = 90 * time.Second
 
-// gatewayProgram is the gateway that the tests run.
+// gatewayProgram is the path of the gateway's program that the tests run.
 var gatewayProgram string
 
-// TestMain builds the gateway.
+// TestMain builds the gateway's program and runs the tests.
 func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
 
 func buildAndRun(m *testing.M) int {
@@ -32,7 +32,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	defer func() { _ = os.RemoveAll(directory) }() // the system removes what is left
+	defer func() { _ = os.RemoveAll(directory) }() // the system cleans up its temporary directory if this fails
 	gatewayProgram = filepath.Join(directory, "gateway")
 	build := exec.Command("go", "build", "-o", gatewayProgram, "springfield/cmd/gateway")
 	if output, err := build.CombinedOutput(); err != nil {
@@ -47,7 +47,7 @@
 	mu         sync.Mutex
 	seen       map[string]int
 	last       time.Duration
-	outOfOrder int // observations with an earlier time than the one before
+	outOfOrder int // observations whose time is earlier than that of the previous one
 }
 
 // Observe implements emulator.Observer.
@@ -79,7 +79,7 @@
 	return c.seen[name]
 }
 
-// newScenario returns a small deployment whose load takes the given time.
+// newScenario returns a scenario with a small deployment and a load of the given length.
 func newScenario(length time.Duration, faults ...emulator.Fault) emulator.Scenario {
 	s := model.DefaultScenario()
 	s.Name = "loopback test"
@@ -90,7 +90,7 @@
 	return s
 }
 
-// runResult is what a run showed.
+// runResult holds the summary of a run and the observers of its observations.
 type runResult struct {
 	*observationCounts
 	checker *invariant.Checker
@@ -130,7 +130,7 @@
 	}
 }
 
-// runScenario plays a scenario to its end.
+// runScenario runs a scenario to its end.
 func runScenario(t *testing.T, s emulator.Scenario) *runResult {
 	t.Helper()
 	opts, result := newOptions(t, s)
@@ -138,25 +138,26 @@
 	defer cancel()
 	summary, err := Run(ctx, opts)
 	if err != nil {
-		t.Fatalf("%v (%+v, %v)", err, summary, result.seen)
+		t.Fatalf("the run failed: %v (%+v, %v)", err, summary, result.seen)
 	}
 	result.summary = summary
 	t.Logf("%+v %v", summary, result.seen)
 	return result
 }
 
-// checkRules fails the test if a rule was broken, a gateway crashed or the observations contradict each other.
+// checkRules fails the test if a rule was broken, a gateway crashed, an attempt was unknown, or the observations are
+// out of order or incomplete.
 func (o *runResult) checkRules(t *testing.T) {
 	t.Helper()
 	if report := o.checker.Finish(o.last); !report.Kept() {
 		t.Errorf("broken rules: %+v", report)
 	}
 	if o.summary.GatewayCrashes != 0 || o.summary.UnknownRequests != 0 || o.outOfOrder != 0 {
-		t.Errorf("%+v, %d observations out of order", o.summary, o.outOfOrder)
+		t.Errorf("want no crash, no unknown request and 0 observations out of order: %+v, %d", o.summary, o.outOfOrder)
 	}
-	over := o.count("RequestAnswered") + o.count("ClientDisconnected")
+	finished := o.count("RequestAnswered") + o.count("ClientDisconnected")
 	submitted := o.count("RequestSubmitted")
-	if submitted == 0 || submitted != over || int64(submitted) != o.summary.Requests {
-		t.Errorf("%d requests, %d of them over: %+v %v", submitted, over, o.summary, o.seen)
+	if submitted == 0 || submitted != finished || int64(submitted) != o.summary.Requests {
+		t.Errorf("%d requests submitted, %d with an outcome: %+v %v", submitted, finished, o.summary, o.seen)
 	}
 }
--- a/internal/emulator/loopback/message_test.go
+++ b/internal/emulator/loopback/message_test.go
@@ -11,7 +11,8 @@
 	"springfield/internal/emulator/model"
 )
 
-// A request has the form of the protocol, and an endpoint recognizes it only unchanged.
+// An encoded request must have the form of the gateways' HTTP protocol, and an endpoint must recognize it only if a
+// gateway has not changed it.
 func TestEncodedRequestIsRecognizedOnlyUnchanged(t *testing.T) {
 	s := newScenario(time.Second)
 	s.Classes[1].Idempotency = "deduplicated"
@@ -30,19 +31,19 @@
 		"Quota-Info: units=1.5,spread=3,first=1\r\nIdempotency-Key: 000000000000001a\r\nReq-Deadline: 0.480\r\n" +
 		"Content-Length: 24\r\n\r\nrequest 000000000000001b"
 	if text != want {
-		t.Errorf("got %q", text)
+		t.Errorf("the encoded request does not have the form of the protocol: got %q", text)
 	}
 	received, err := readRequest(bufio.NewReader(bytes.NewReader([]byte(text))))
 	if err != nil || !m.matches(received) {
-		t.Errorf("not recognized: %v", err)
+		t.Errorf("the unchanged request was not recognized: %v", err)
 	}
 	received.body += "x"
 	if m.matches(received) {
-		t.Error("recognized with another body")
+		t.Error("a request with a changed body was recognized")
 	}
 }
 
-// A complete response can be read, and a truncated one is an error.
+// A complete response must be readable, and reading the body of a truncated one must fail.
 func TestOnlyTruncatedResponsesFailToParse(t *testing.T) {
 	for _, truncated := range []bool{false, true} {
 		r := response{status: http.StatusOK, body: "some text", truncated: truncated, header: []string{"Usage-Percent: 40"}}
@@ -58,6 +59,7 @@
 	}
 }
 
+// Header values must have no exponent, no trailing zeros and at most four decimals.
 func TestFormatDecimalTrimsTrailingZeros(t *testing.T) {
 	for value, want := range map[float64]string{0: "0", 10: "10", 1.5: "1.5", 0.12346: "0.1235", 1e6: "1000000"} {
 		if got := formatDecimal(value); got != want {
@@ -66,7 +68,8 @@
 	}
 }
 
-// The end of a connection is seen without a read, and unread bytes are not taken for it.
+// A closed connection must be detected without a read, and neither an open connection nor one with unread bytes may
+// count as closed.
 func TestPeerHasClosedDetectsOnlyClosedConnections(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -91,7 +94,7 @@
 		t.Fatal(err)
 	}
 	if err := client.Close(); err != nil || !peerHasClosed(server) {
-		t.Errorf("the end was not seen (%v)", err)
+		t.Errorf("a connection that the peer has closed counts as open (%v)", err)
 	}
 	if err := server.Close(); err != nil || !peerHasClosed(server) {
 		t.Errorf("a connection that this side has closed counts as open (%v)", err)
--- a/internal/emulator/loopback/world_test.go
+++ b/internal/emulator/loopback/world_test.go
@@ -18,7 +18,7 @@
 	"springfield/internal/emulator"
 )
 
-// No process is left once a world whose context has ended is closed.
+// No gateway process may be left once a world whose context has ended is closed.
 func TestProcessesEndWithTheContext(t *testing.T) {
 	opts, _ := newOptions(t, newScenario(time.Minute))
 	ctx, cancel := context.WithCancel(t.Context())
@@ -30,27 +30,27 @@
 	var pids []int
 	w.scheduler.Do(func() {
 		for _, g := range w.gateways {
-			g.process.mu.Lock() // the process is running, and with it its id is known
+			g.process.mu.Lock() // the process runs, so its ID is known
 			pids = append(pids, g.process.command.Process.Pid)
 			g.process.mu.Unlock()
 		}
 	})
 	time.AfterFunc(time.Second, cancel)
 	if _, err := w.Drive(ctx); !errors.Is(err, context.Canceled) {
-		t.Errorf("got %v", err)
+		t.Errorf("Drive with a cancelled context: got error %v", err)
 	}
 	w.Close()
 	for _, pid := range pids {
 		if err := syscall.Kill(pid, 0); !errors.Is(err, syscall.ESRCH) {
-			t.Errorf("process %d: %v", pid, err)
+			t.Errorf("process %d has not ended: %v", pid, err)
 		}
 	}
 	if len(pids) != 2 {
-		t.Errorf("%d processes", len(pids))
+		t.Errorf("got %d processes, want 2", len(pids))
 	}
 }
 
-// A program that is no gateway, or does not exist, is an error.
+// Start must fail with ErrNotReady if the program is not a gateway or does not exist.
 func TestStartFailsForProgramThatIsNoGateway(t *testing.T) {
 	for _, program := range []string{"/bin/false", filepath.Join(t.TempDir(), "missing")} {
 		opts, o := newOptions(t, newScenario(time.Second))
@@ -63,12 +63,12 @@
 			w.Close()
 		}
 		if !errors.Is(err, ErrNotReady) || o.count("GatewayStarted") != 0 {
-			t.Errorf("%s: got %v", program, err)
+			t.Errorf("%s: got error %v, want ErrNotReady and no gateway start", program, err)
 		}
 	}
 }
 
-// Gateways that are started by hand with the configurations of the directory are driven like others.
+// Gateways that are started by hand with the configurations in the directory must be driven like those of the world.
 func TestManuallyStartedGatewaysServeRequests(t *testing.T) {
 	opts, o := newOptions(t, newScenario(time.Second))
 	opts.Gateway = ""
@@ -85,7 +85,7 @@
 		if err := command.Start(); err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = command.Wait() }() // it is killed
+		defer func() { _ = command.Wait() }() // the process is killed when the context ends, so Wait returns an error
 	}
 	defer cancel()
 	if o.summary, err = w.Drive(ctx); err != nil {
@@ -93,11 +93,11 @@
 	}
 	o.checkRules(t)
 	if o.count("answer 1") == 0 || o.summary.GatewayStarts != 0 {
-		t.Errorf("%+v %v", o.summary, o.seen)
+		t.Errorf("want served requests and no started processes: %+v %v", o.summary, o.seen)
 	}
 }
 
-// A gateway that makes answers up and sends requests that no client has sent is found out.
+// A gateway that forges answers, or sends endpoints requests that no client has sent, must be detected.
 func TestForgedRequestsAndAnswersAreDetected(t *testing.T) {
 	s := newScenario(time.Second)
 	s.Gateways = 1
@@ -133,30 +133,30 @@
 		if got.StatusCode != http.StatusBadRequest {
 			t.Errorf("the endpoint answered %s", got.Status)
 		}
-		_ = got.Body.Close()                           // it is empty
-		_, _ = io.WriteString(response, "I made this") // the client may have left
+		_ = got.Body.Close()                           // the body is not needed
+		_, _ = io.WriteString(response, "I made this") // fails if the client has disconnected
 	})}
-	go func() { _ = server.Serve(listener) }() // it is closed below
+	go func() { _ = server.Serve(listener) }() // returns when the server is closed
 	defer func() { _ = server.Close() }()
 	if o.summary, err = w.Drive(ctx); err != nil {
 		t.Fatal(err)
 	}
 	served := o.count("answer 1")
 	if served == 0 || o.count("not genuine") != served || o.summary.UnknownRequests != int64(served) {
-		t.Errorf("%+v %v", o.summary, o.seen)
+		t.Errorf("want only answers that are not genuine, and as many unknown requests: %+v %v", o.summary, o.seen)
 	}
 	if o.checker.Finish(o.last).Kept() {
-		t.Error("the checker found nothing")
+		t.Error("the checker found no broken rule")
 	}
 }
 
-// A scenario that is too large for sockets, or invalid, is refused before anything is started.
+// Start must refuse a scenario that is too large for sockets, or invalid, before it starts anything.
 func TestStartRejectsTooLargeAndInvalidScenarios(t *testing.T) {
 	large := newScenario(time.Second)
 	large.Gateways = maxGateways + 1
 	var limit *LimitError
 	if _, err := Start(t.Context(), Options{Scenario: large}); !errors.As(err, &limit) || limit.Name != "gateways" {
-		t.Errorf("got %v", err)
+		t.Errorf("a scenario with too many gateways: got error %v, want a LimitError for gateways", err)
 	}
 	if _, err := Start(t.Context(), Options{Scenario: emulator.Scenario{}}); err == nil {
 		t.Error("an empty scenario was accepted")
