--- a/internal/emulator/loopback/byte_faults.go
+++ b/internal/emulator/loopback/byte_faults.go
@@ -7,69 +7,69 @@
 	"time"
 )
 
-// byteFault is what happens to the bytes of a response on their way.
+// byteFault is a fault in the transmission of a response.
 type byteFault struct {
-	kind byteFaultKind
-	at   float64 // the place of the fault, as a share of the bytes
+	kind     byteFaultKind
+	position float64 // where the fault occurs, as a share of the encoded response
 }
 
 type byteFaultKind uint8
 
 const (
-	bytesWhole     byteFaultKind = iota
-	bytesReset                   // the connection is reset after a part
-	bytesHalfClose               // the endpoint ends its sending after a part, and goes on to read
-	bytesStall                   // nothing comes for a while after a part
-	bytesDribble                 // a few bytes come at a time
-	bytesDoubled                 // the response comes twice
-	byteFaultKinds
+	byteFaultNone      byteFaultKind = iota
+	byteFaultReset                   // the connection is reset after a part of the response
+	byteFaultHalfClose               // the endpoint closes its sending side after a part and keeps reading
+	byteFaultStall                   // nothing is sent for stallDuration after a part of the response
+	byteFaultTrickle                 // trickleChunkBytes are sent at a time
+	byteFaultDuplicate               // the response is sent twice
+	byteFaultKindCount
 )
 
 const (
-	byteStall       = 700 * time.Millisecond
-	dribbleBytes    = 7
-	dribbleInterval = 2 * time.Millisecond
+	stallDuration     = 700 * time.Millisecond
+	trickleChunkBytes = 7
+	trickleInterval   = 2 * time.Millisecond
 )
 
-// errCut says that a response was not written whole on purpose.
-var errCut = errors.New("the response is cut")
+// errTruncated reports that a fault, or the end of the world, kept a response from being written completely.
+var errTruncated = errors.New("response truncated by a fault or by the end of the run")
 
-// drawByteFault draws what happens to a response while SpoilBytes is in force.
+// drawByteFault draws the fault of a response: none, or a random one for the share of responses that SpoilBytes set.
 func (w *World) drawByteFault(random *rand.Rand) byteFault {
 	if random.Float64() >= w.byteFaultShare {
 		return byteFault{}
 	}
-	return byteFault{kind: byteFaultKind(1 + random.IntN(int(byteFaultKinds)-1)), at: random.Float64()}
+	return byteFault{kind: byteFaultKind(1 + random.IntN(int(byteFaultKindCount)-1)), position: random.Float64()}
 }
 
-// endsEarly reports whether the response does not arrive whole.
-func (f byteFault) endsEarly() bool { return f.kind == bytesReset || f.kind == bytesHalfClose }
+// truncates reports whether the fault keeps the response from arriving completely.
+func (f byteFault) truncates() bool { return f.kind == byteFaultReset || f.kind == byteFaultHalfClose }
 
-// writeBytes writes an encoded response as its fault says.
-func (c *upstreamConnection) writeBytes(encoded []byte, fault byteFault) error {
-	place := int(fault.at * float64(len(encoded)))
+// writeWithFault writes an encoded response and applies its fault.
+func (c *upstreamConnection) writeWithFault(encoded []byte, fault byteFault) error {
+	offset := int(fault.position * float64(len(encoded)))
 	switch fault.kind {
-	case bytesReset, bytesHalfClose:
-		_, _ = c.conn.Write(encoded[:place]) // it is cut off in any case
-		if tcp, ok := c.conn.(*net.TCPConn); ok && fault.kind == bytesHalfClose {
-			_ = tcp.CloseWrite() // fails only once it is closed
-			c.endpoint.world.pause(byteStall)
-			return errCut
+	case byteFaultReset, byteFaultHalfClose:
+		_, _ = c.conn.Write(encoded[:offset]) // the response is truncated in any case
+		if tcp, ok := c.conn.(*net.TCPConn); ok && fault.kind == byteFaultHalfClose {
+			_ = tcp.CloseWrite() // fails only on a closed connection
+			c.endpoint.world.sleep(stallDuration)
+			return errTruncated
 		}
-		reset(c.conn)
-		return errCut
-	case bytesStall:
-		if _, err := c.conn.Write(encoded[:place]); err != nil {
+		closeWithReset(c.conn)
+		return errTruncated
+	case byteFaultStall:
+		if _, err := c.conn.Write(encoded[:offset]); err != nil {
 			return err
 		}
-		if !c.endpoint.world.pause(byteStall) {
-			return errCut
+		if !c.endpoint.world.sleep(stallDuration) {
+			return errTruncated
 		}
-		_, err := c.conn.Write(encoded[place:])
+		_, err := c.conn.Write(encoded[offset:])
 		return err
-	case bytesDribble:
-		return c.dribble(encoded)
-	case bytesDoubled:
+	case byteFaultTrickle:
+		return c.writeTrickle(encoded)
+	case byteFaultDuplicate:
 		if _, err := c.conn.Write(encoded); err != nil {
 			return err
 		}
@@ -78,21 +78,22 @@
 	return err
 }
 
-func (c *upstreamConnection) dribble(encoded []byte) error {
+func (c *upstreamConnection) writeTrickle(encoded []byte) error {
 	for len(encoded) > 0 {
-		n := min(dribbleBytes, len(encoded))
+		n := min(trickleChunkBytes, len(encoded))
 		if _, err := c.conn.Write(encoded[:n]); err != nil {
 			return err
 		}
 		encoded = encoded[n:]
-		if !c.endpoint.world.pause(dribbleInterval) {
-			return errCut
+		if !c.endpoint.world.sleep(trickleInterval) {
+			return errTruncated
 		}
 	}
 	return nil
 }
 
-// SpoilBytes makes faults at byte positions of a share of the responses for a time.
+// SpoilBytes applies random transmission faults to a share of the responses for a time: resets, half-closes, stalls,
+// slow writes and duplicates.
 func (w *World) SpoilBytes(share float64, length time.Duration) {
 	w.scheduler.Do(func() {
 		w.byteFaultShare = share
--- a/internal/emulator/loopback/connections.go
+++ b/internal/emulator/loopback/connections.go
@@ -5,16 +5,16 @@
 	"syscall"
 )
 
-// reset closes a connection so that its peer gets a reset, not an end.
-func reset(conn net.Conn) {
+// closeWithReset closes a connection with a TCP reset instead of an orderly close.
+func closeWithReset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // fails on a closed connection
 	}
-	_ = conn.Close() // it may be closed already
+	_ = conn.Close() // the connection may be closed already
 }
 
-// peerHasClosed reports whether the peer has closed or reset the connection and nothing of it is left to be read. It
-// does not block and reads nothing.
+// peerHasClosed reports whether the peer has closed or reset the connection and no unread bytes are left. It neither
+// blocks nor consumes bytes.
 func peerHasClosed(conn net.Conn) bool {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -26,8 +26,8 @@
 	}
 	closed := false
 	err = raw.Control(func(fd uintptr) {
-		var next [1]byte
-		count, _, err := syscall.Recvfrom(int(fd), next[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var buffer [1]byte
+		count, _, err := syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		closed = err == nil && count == 0 || err != nil && err != syscall.EAGAIN && err != syscall.EINTR
 	})
 	return closed || err != nil
--- a/internal/emulator/loopback/endpoint.go
+++ b/internal/emulator/loopback/endpoint.go
@@ -10,20 +10,21 @@
 	"springfield/policy"
 )
 
-// endpoint is an upstream server: the model of its machine behind a listener. Its fields belong to the scheduler.
+// endpoint is an upstream server: the model of its machine behind a listener. Its fields are accessed only in the
+// scheduler.
 type endpoint struct {
 	world      *World
 	id         policy.EndpointID
 	zone, cell int
 	server     *model.Server
 	address    string
-	listener   net.Listener // nil: its process has ended
-	cuts       int          // partitions that cut it off from all gateways now
+	listener   net.Listener // nil while the endpoint's process is stopped
+	partitions int          // active partitions that separate the endpoint from all gateways
 
-	connections []*upstreamConnection // that are open, in the order in which they were accepted
+	connections []*upstreamConnection // open connections in the order of their acceptance
 }
 
-// addEndpoint starts a new endpoint. startedAt 0 means that it has run for long.
+// addEndpoint starts a new endpoint. If startedAt is 0, the endpoint started long ago and is warm.
 func (w *World) addEndpoint(zone, cell int, startedAt time.Duration) error {
 	listener, err := w.subnet.listen(endpointHost)
 	if err != nil {
@@ -42,20 +43,21 @@
 		e.stop()
 	}
 	w.endpoints = append(w.endpoints, e)
-	e.started(listener, startedAt > 0 && w.scenario.WarmUp.Duration > 0)
+	e.markStarted(listener, startedAt > 0 && w.scenario.WarmUp.Duration > 0)
 	return nil
 }
 
-// started accepts connections and publishes the endpoint.
-func (e *endpoint) started(listener net.Listener, warming bool) {
+// markStarted observes the start of the endpoint's process, publishes the endpoint in discovery and accepts
+// connections.
+func (e *endpoint) markStarted(listener net.Listener, warming bool) {
 	e.listener = listener
 	e.world.observe(emulator.EndpointStarted{Endpoint: e.id, Warming: warming})
 	e.world.discovery.Set(e.server.Endpoint())
-	e.world.running.Go(func() { e.accept(listener) })
+	e.world.goroutines.Go(func() { e.acceptConnections(listener) })
 }
 
-// accept serves the connections of one process of the endpoint until its listener is closed.
-func (e *endpoint) accept(listener net.Listener) {
+// acceptConnections accepts connections for one process of the endpoint until its listener is closed.
+func (e *endpoint) acceptConnections(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -63,31 +65,31 @@
 		}
 		if err != nil {
 			e.world.logger.Warn("accepting at an endpoint failed", "endpoint", e.id, "err", err)
-			if !e.world.pause(acceptRetryDelay) {
+			if !e.world.sleep(acceptRetryDelay) {
 				return
 			}
 			continue
 		}
-		served := false
-		e.world.scheduler.Do(func() { served = e.connected(conn, listener) })
-		if !served {
-			reset(conn)
+		accepted := false
+		e.world.scheduler.Do(func() { accepted = e.addConnection(conn, listener) })
+		if !accepted {
+			closeWithReset(conn)
 		}
 	}
 }
 
-// acceptRetryDelay is the pause after a connection could not be accepted, as when no descriptor is free.
+// acceptRetryDelay is the pause after a failed accept, for example when no file descriptor is free.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// connected serves a connection that was accepted by the listener. It reports false if the process of that listener has
-// ended.
-func (e *endpoint) connected(conn net.Conn, listener net.Listener) bool {
+// addConnection serves a connection that the listener has accepted. It reports false if the process of that listener
+// has ended.
+func (e *endpoint) addConnection(conn net.Conn, listener net.Listener) bool {
 	if e.listener != listener {
 		return false
 	}
-	c := &upstreamConnection{endpoint: e, conn: conn, process: listener, admitted: e.server.Connect()}
+	c := &upstreamConnection{endpoint: e, conn: conn, processListener: listener, admitted: e.server.Connect()}
 	e.connections = append(e.connections, c)
-	e.world.running.Go(c.serve)
+	e.world.goroutines.Go(c.serve)
 	return true
 }
 
@@ -100,7 +102,7 @@
 	e.world.discovery.Set(e.server.Endpoint())
 }
 
-// stop ends the endpoint's process: its connections are reset and new ones are refused.
+// stop ends the endpoint's process: open connections are reset and new ones are refused.
 func (e *endpoint) stop() {
 	if e.listener == nil {
 		return
@@ -114,7 +116,7 @@
 
 func (e *endpoint) resetConnections() {
 	for _, c := range e.connections {
-		c.reset()
+		c.closeWithReset()
 	}
 }
 
@@ -129,17 +131,17 @@
 		return
 	}
 	e.server.Start(e.world.scheduler.Now())
-	e.started(listener, e.world.scenario.WarmUp.Duration > 0)
+	e.markStarted(listener, e.world.scenario.WarmUp.Duration > 0)
 }
 
 func (e *endpoint) closeListener() {
 	if e.listener != nil {
-		_ = e.listener.Close() // it is open: it is closed only here
+		_ = e.listener.Close() // no other code closes it, so it is still open
 		e.listener = nil
 	}
 }
 
-// endpoint returns the endpoint of an id, or nil.
+// endpoint returns the endpoint with the given ID, or nil if there is none.
 func (w *World) endpoint(id policy.EndpointID) *endpoint {
 	if id == 0 || int(id) > len(w.endpoints) {
 		return nil
@@ -147,7 +149,7 @@
 	return w.endpoints[id-1]
 }
 
-// endpointAddress is the addressBook of the world.
+// endpointAddress returns the address of an endpoint, or "" if there is no such endpoint. It is an addressLookup.
 func (w *World) endpointAddress(id policy.EndpointID) string {
 	if e := w.endpoint(id); e != nil {
 		return e.address
@@ -155,8 +157,8 @@
 	return ""
 }
 
-// pause waits for a time. It reports false if the world ends before.
-func (w *World) pause(delay time.Duration) bool {
+// sleep waits for the delay. It reports false if the world ends first.
+func (w *World) sleep(delay time.Duration) bool {
 	select {
 	case <-time.After(delay):
 		return true
--- a/internal/emulator/loopback/faults.go
+++ b/internal/emulator/loopback/faults.go
@@ -7,7 +7,7 @@
 	"springfield/policy"
 )
 
-// faultTarget lets the fault schedule act on the world. Faults of gateways that are started by hand are left out.
+// faultTarget applies the scenario's fault schedule to the world. It skips faults of gateways that are started by hand.
 type faultTarget struct{ w *World }
 
 var _ model.FaultTarget = faultTarget{}
@@ -68,31 +68,32 @@
 
 // CutEndpoint implements model.FaultTarget.
 func (t faultTarget) CutEndpoint(id policy.EndpointID, cut bool) {
-	t.w.endpoint(id).cuts += cutChange(cut)
-	t.w.resetCutOff()
+	t.w.endpoint(id).partitions += partitionChange(cut)
+	t.w.resetAfterPartition()
 }
 
 // CutZone implements model.FaultTarget.
 func (t faultTarget) CutZone(zone int, cut bool) {
-	if zone < len(t.w.zoneCuts) {
-		t.w.zoneCuts[zone] += cutChange(cut)
-		t.w.resetCutOff()
+	if zone < len(t.w.zonePartitions) {
+		t.w.zonePartitions[zone] += partitionChange(cut)
+		t.w.resetAfterPartition()
 	}
 }
 
-func cutChange(cut bool) int {
+func partitionChange(cut bool) int {
 	if cut {
 		return 1
 	}
 	return -1
 }
 
-// resetCutOff resets the connections on which something was lost, of the endpoints that are not cut off any more.
-func (w *World) resetCutOff() {
+// resetAfterPartition resets the connections on which data was lost in a partition that no longer separates their
+// endpoints from their gateways.
+func (w *World) resetAfterPartition() {
 	for _, e := range w.endpoints {
 		for _, c := range e.connections {
-			if c.cutOff && w.reachable(c.gateway, e) {
-				c.reset()
+			if c.lostByPartition && w.reachable(c.gateway, e) {
+				c.closeWithReset()
 			}
 		}
 	}
@@ -112,11 +113,12 @@
 	t.w.discoveryDown = down
 	t.w.discovery.SetDown(down)
 	for _, g := range t.w.gateways {
-		g.agent.wake()
+		g.agent.wakeCalls()
 	}
 }
 
-// SilenceWatches implements model.FaultTarget. Where lists are pushed, the agents go on learning of changes.
+// SilenceWatches implements model.FaultTarget. With pushed discovery, the agents still receive changes: only their
+// watches to the gateways fall silent.
 func (t faultTarget) SilenceWatches() {
 	if t.w.scenario.Discovery.Polled {
 		t.w.discovery.Silence()
@@ -126,7 +128,8 @@
 	}
 }
 
-// MoveDiscovery implements model.FaultTarget: each gateway gets a new configuration, and SIGHUP.
+// MoveDiscovery implements model.FaultTarget. It moves each agent to a new address, writes that address to the
+// gateway's configuration and sends SIGHUP.
 func (t faultTarget) MoveDiscovery() {
 	if !t.w.startsGateways() {
 		return
