--- a/internal/emulator/loopback/faults.go
+++ b/internal/emulator/loopback/faults.go
@@ -66,14 +66,14 @@
 	t.w.endpoint(id).server.SetSilent(silent)
 }
 
-// CutEndpoint implements model.FaultTarget.
-func (t faultTarget) CutEndpoint(id policy.EndpointID, cut bool) {
+// PartitionEndpoint implements model.FaultTarget.
+func (t faultTarget) PartitionEndpoint(id policy.EndpointID, cut bool) {
 	t.w.endpoint(id).cuts += cutChange(cut)
 	t.w.resetCutOff()
 }
 
-// CutZone implements model.FaultTarget.
-func (t faultTarget) CutZone(zone int, cut bool) {
+// PartitionZone implements model.FaultTarget.
+func (t faultTarget) PartitionZone(zone int, cut bool) {
 	if zone < len(t.w.zoneCuts) {
 		t.w.zoneCuts[zone] += cutChange(cut)
 		t.w.resetCutOff()
@@ -101,8 +101,8 @@
 // ResetAttempts implements model.FaultTarget.
 func (t faultTarget) ResetAttempts(share float64) { t.w.resetShare = share }
 
-// SpoilAnswers implements model.FaultTarget.
-func (t faultTarget) SpoilAnswers(share float64) { t.w.spoiltShare = share }
+// CorruptResponses implements model.FaultTarget.
+func (t faultTarget) CorruptResponses(share float64) { t.w.spoiltShare = share }
 
 // SilenceMeter implements model.FaultTarget.
 func (t faultTarget) SilenceMeter(silent bool) { t.w.meter.SetSilent(silent) }
@@ -146,5 +146,5 @@
 	}
 }
 
-// SetLateness implements model.FaultTarget.
-func (t faultTarget) SetLateness(factor float64) { t.w.discovery.SetLateness(factor) }
+// SetListDelayFactor implements model.FaultTarget.
+func (t faultTarget) SetListDelayFactor(factor float64) { t.w.discovery.SetListDelayFactor(factor) }
--- a/internal/emulator/model/discovery.go
+++ b/internal/emulator/model/discovery.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// SetLateness makes updates later by a factor. 1 is as usual.
-func (d *Discovery) SetLateness(factor float64) { d.lateness = max(0, factor) }
+// SetListDelayFactor makes updates later by a factor. 1 is as usual.
+func (d *Discovery) SetListDelayFactor(factor float64) { d.lateness = max(0, factor) }
 
 func (d *Discovery) version() uint64 { return uint64(len(d.changes)) }
 
--- a/internal/emulator/model/discovery_test.go
+++ b/internal/emulator/model/discovery_test.go
@@ -95,7 +95,7 @@
 
 func TestLatenessMultipliesDelays(t *testing.T) {
 	d := newDiscoveryTest(lateDiscovery())
-	d.SetLateness(3)
+	d.SetListDelayFactor(3)
 	d.Set(policy.Endpoint{ID: 2, State: policy.StateReady})
 	d.after(10 * time.Second)
 	if at := d.delivered[1].at; at < 3*time.Second || at > 6*time.Second {
--- a/internal/emulator/model/faults.go
+++ b/internal/emulator/model/faults.go
@@ -38,16 +38,16 @@
 	FailEndpoint(id policy.EndpointID, share float64)
 	SilenceEndpoint(id policy.EndpointID, silent bool)
 
-	CutEndpoint(id policy.EndpointID, cut bool)
-	CutZone(zone int, cut bool) // off from the other zones
+	PartitionEndpoint(id policy.EndpointID, cut bool)
+	PartitionZone(zone int, cut bool) // off from the other zones
 	ResetAttempts(share float64)
-	SpoilAnswers(share float64)
+	CorruptResponses(share float64)
 	SilenceMeter(silent bool)
 
 	SetDiscoveryDown(down bool)
 	SilenceWatches()
 	MoveDiscovery()
-	SetLateness(factor float64) // 1: as usual
+	SetListDelayFactor(factor float64) // 1: as usual
 }
 
 // ScheduleFaults schedules the faults of a scenario. It is called when the load begins.
@@ -139,11 +139,11 @@
 
 func (s *faultScheduler) partition() {
 	if zone := s.fault.Zone - 1; zone >= 0 {
-		s.during(func() { s.target.CutZone(zone, true) }, func() { s.target.CutZone(zone, false) })
+		s.during(func() { s.target.PartitionZone(zone, true) }, func() { s.target.PartitionZone(zone, false) })
 		return
 	}
 	for _, id := range s.selectEndpoints() {
-		s.during(func() { s.target.CutEndpoint(id, true) }, func() { s.target.CutEndpoint(id, false) })
+		s.during(func() { s.target.PartitionEndpoint(id, true) }, func() { s.target.PartitionEndpoint(id, false) })
 	}
 }
 
@@ -158,11 +158,11 @@
 	case emulator.FaultDiscoveryMoves:
 		target.MoveDiscovery()
 	case emulator.FaultLateLists:
-		s.during(func() { target.SetLateness(factor) }, func() { target.SetLateness(1) })
+		s.during(func() { target.SetListDelayFactor(factor) }, func() { target.SetListDelayFactor(1) })
 	case emulator.FaultResets:
 		s.during(func() { target.ResetAttempts(factor) }, func() { target.ResetAttempts(0) })
 	case emulator.FaultSpoiltAnswers:
-		s.during(func() { target.SpoilAnswers(factor) }, func() { target.SpoilAnswers(0) })
+		s.during(func() { target.CorruptResponses(factor) }, func() { target.CorruptResponses(0) })
 	case emulator.FaultMeterSilence:
 		s.during(func() { target.SilenceMeter(true) }, func() { target.SilenceMeter(false) })
 	}
--- a/internal/emulator/model/faults_test.go
+++ b/internal/emulator/model/faults_test.go
@@ -33,25 +33,25 @@
 	return list
 }
 
-func (r *faultRecorder) KillGateway(int)                             { r.record("kill") }
-func (r *faultRecorder) StartGateway(int)                            { r.record("start gateway") }
-func (r *faultRecorder) RestartGateway(int)                          { r.record("restart") }
-func (r *faultRecorder) DrainEndpoint(policy.EndpointID)             { r.record("drain") }
-func (r *faultRecorder) StopEndpoint(policy.EndpointID)              { r.record("stop") }
-func (r *faultRecorder) StartEndpoint(policy.EndpointID)             { r.record("start") }
-func (r *faultRecorder) AddReplacement(policy.EndpointID)            { r.record("add") }
-func (r *faultRecorder) SlowEndpoint(_ policy.EndpointID, f float64) { r.record("slow %v", f) }
-func (r *faultRecorder) FailEndpoint(_ policy.EndpointID, s float64) { r.record("fail %v", s) }
-func (r *faultRecorder) SilenceEndpoint(_ policy.EndpointID, s bool) { r.record("silence %v", s) }
-func (r *faultRecorder) CutEndpoint(_ policy.EndpointID, cut bool)   { r.record("cut %v", cut) }
-func (r *faultRecorder) CutZone(zone int, cut bool)                  { r.record("cut zone %d %v", zone, cut) }
-func (r *faultRecorder) ResetAttempts(share float64)                 { r.record("reset %v", share) }
-func (r *faultRecorder) SpoilAnswers(share float64)                  { r.record("spoil %v", share) }
-func (r *faultRecorder) SilenceMeter(silent bool)                    { r.record("meter %v", silent) }
-func (r *faultRecorder) SetDiscoveryDown(down bool)                  { r.record("discovery down %v", down) }
-func (r *faultRecorder) SilenceWatches()                             { r.record("silence watches") }
-func (r *faultRecorder) MoveDiscovery()                              { r.record("move discovery") }
-func (r *faultRecorder) SetLateness(factor float64)                  { r.record("lateness %v", factor) }
+func (r *faultRecorder) KillGateway(int)                                 { r.record("kill") }
+func (r *faultRecorder) StartGateway(int)                                { r.record("start gateway") }
+func (r *faultRecorder) RestartGateway(int)                              { r.record("restart") }
+func (r *faultRecorder) DrainEndpoint(policy.EndpointID)                 { r.record("drain") }
+func (r *faultRecorder) StopEndpoint(policy.EndpointID)                  { r.record("stop") }
+func (r *faultRecorder) StartEndpoint(policy.EndpointID)                 { r.record("start") }
+func (r *faultRecorder) AddReplacement(policy.EndpointID)                { r.record("add") }
+func (r *faultRecorder) SlowEndpoint(_ policy.EndpointID, f float64)     { r.record("slow %v", f) }
+func (r *faultRecorder) FailEndpoint(_ policy.EndpointID, s float64)     { r.record("fail %v", s) }
+func (r *faultRecorder) SilenceEndpoint(_ policy.EndpointID, s bool)     { r.record("silence %v", s) }
+func (r *faultRecorder) PartitionEndpoint(_ policy.EndpointID, cut bool) { r.record("cut %v", cut) }
+func (r *faultRecorder) PartitionZone(zone int, cut bool)                { r.record("cut zone %d %v", zone, cut) }
+func (r *faultRecorder) ResetAttempts(share float64)                     { r.record("reset %v", share) }
+func (r *faultRecorder) CorruptResponses(share float64)                  { r.record("spoil %v", share) }
+func (r *faultRecorder) SilenceMeter(silent bool)                        { r.record("meter %v", silent) }
+func (r *faultRecorder) SetDiscoveryDown(down bool)                      { r.record("discovery down %v", down) }
+func (r *faultRecorder) SilenceWatches()                                 { r.record("silence watches") }
+func (r *faultRecorder) MoveDiscovery()                                  { r.record("move discovery") }
+func (r *faultRecorder) SetListDelayFactor(factor float64)               { r.record("lateness %v", factor) }
 
 // Observe implements emulator.Observer.
 func (r *faultRecorder) Observe(_ time.Duration, observation emulator.Observation) {
--- a/internal/emulator/virtual/world_test.go
+++ b/internal/emulator/virtual/world_test.go
@@ -145,7 +145,7 @@
 
 func TestDialOfACutOffEndpointTimesOut(t *testing.T) {
 	w := newTestWorld(nil, nil)
-	faultTarget{w.world}.CutEndpoint(1, true)
+	faultTarget{w.world}.PartitionEndpoint(1, true)
 	w.submitAt(0, nil)
 	w.after(time.Second)
 	if !slices.Equal(w.statuses(), []policy.Status{policy.StatusConnectFailed}) ||
@@ -227,7 +227,7 @@
 
 func TestSpoiltAnswerIsNoAnswer(t *testing.T) {
 	w := newTestWorld(nil, nil)
-	faultTarget{w.world}.SpoilAnswers(1)
+	faultTarget{w.world}.CorruptResponses(1)
 	w.submitAt(0, nil)
 	w.after(time.Second)
 	if !slices.Equal(w.statuses(), []policy.Status{policy.StatusReset}) {
