--- a/internal/emulator/model/customers.go
+++ b/internal/emulator/model/customers.go
@@ -10,69 +10,71 @@
 	"springfield/policy"
 )
 
-// Streams of random numbers that are drawn from the seed of a run.
+// Random number streams of the workload of a run.
 const (
 	streamCustomers uint64 = iota + 1
 	streamArrivals
 	streamRetries
 )
 
-// Bounds on the use of customers, as shares of their quota.
+// Bounds on the usage of customers, as shares of their quota.
 const (
-	calmUseSpread  = 0.5  // calm customers use CalmUse times 1 - this to 1 + this
-	calmUseMost    = 0.95 // and no more than this
-	fullUseLeast   = 0.85 // customers who use nearly all of their quota
-	fullUseMost    = 0.98
-	spikeGapSpread = 0.5 // pauses between spikes are the mean times 1 - this to 1 + this
+	calmUseSpread  = 0.5  // calm customers use CalmUse times 1 - calmUseSpread to 1 + calmUseSpread
+	maxCalmUse     = 0.95 // upper bound on the usage of calm customers
+	minFullUse     = 0.85 // lower bound for customers who use nearly all of their quota
+	maxFullUse     = 0.98 // upper bound for customers who use nearly all of their quota
+	spikeGapSpread = 0.5  // pauses between spikes are the mean times 1 - spikeGapSpread to 1 + spikeGapSpread
 )
 
-// concurrencyHeadroom is how many times the attempts that its customers keep in flight a plan without a rate allows.
+// concurrencyHeadroom is the ratio of MaxConcurrent to the attempts that a customer at its quota keeps in flight on
+// idle endpoints. It defines the quota rate of a plan that has no rate.
 const concurrencyHeadroom = 2
 
-// leastSetSize is the least number of gateways that carry a customer, if there are so many.
-const leastSetSize = 2
+// minSetSize is the smallest number of gateways that carry a customer, if the deployment has as many.
+const minSetSize = 2
 
-// leastUse is the use in units a second below which no further customer is added.
-const leastUse = 1e-9
+// minRemainingUse is the in-quota load of a plan, in units a second, below which no further customer is added.
+const minRemainingUse = 1e-9
 
-// Customer ids are numbers below 2^33 that tell nothing of the order in which the customers were drawn.
+// Customer ids are numbers below 2^33 that do not reveal the order in which the customers were drawn.
 const (
-	customerIDMask    = 1<<33 - 1
-	customerIDScatter = 0x9e3779b1 // odd, so that ids differ
+	customerIDMask       = 1<<33 - 1
+	customerIDMultiplier = 0x9e3779b1 // odd, so that all ids differ
 )
 
-// customer sends at one rate, or at a higher one during its spikes.
+// customer sends requests at one rate, and at another rate during its spikes.
 type customer struct {
 	id                policy.CustomerID
 	plan              int
 	rate              float64         // units a second outside of spikes
 	spikeRate         float64         // units a second in spikes
-	spikes            []time.Duration // their begins after the start, in order
+	spikeStarts       []time.Duration // starts of the spikes, counted from the start of the load, in order
 	setFirst, setSize int
 }
 
-// rateAt returns how many units a second the customer requests at a time after the start, and until when.
+// rateAt returns the units a second that the customer requests at a time after the start, and until when it keeps this
+// rate.
 func (c *customer) rateAt(at, spikeLength time.Duration) (rate float64, until time.Duration) {
-	next, found := slices.BinarySearch(c.spikes, at)
+	next, found := slices.BinarySearch(c.spikeStarts, at)
 	if found {
 		next++
 	}
-	if next > 0 && at < c.spikes[next-1]+spikeLength {
-		return c.spikeRate, c.spikes[next-1] + spikeLength
+	if next > 0 && at < c.spikeStarts[next-1]+spikeLength {
+		return c.spikeRate, c.spikeStarts[next-1] + spikeLength
 	}
-	if next < len(c.spikes) {
-		return c.rate, c.spikes[next]
+	if next < len(c.spikeStarts) {
+		return c.rate, c.spikeStarts[next]
 	}
 	return c.rate, math.MaxInt64
 }
 
-// EndpointWork returns how many units a second all endpoints can do when they are warm.
-func EndpointWork(scenario *emulator.Scenario) (capacityUnits float64) {
+// EndpointCapacity returns how many units a second all endpoints together can process when they are warm.
+func EndpointCapacity(scenario *emulator.Scenario) (capacityUnits float64) {
 	cores := float64(scenario.Endpoints.Count * scenario.Endpoints.Cores)
 	return cores / workPerUnit(scenario.Classes).Seconds()
 }
 
-// workPerUnit returns the mean work of a unit on a core.
+// workPerUnit returns the mean work of a unit on a core at speed 1.
 func workPerUnit(classes []emulator.Class) time.Duration {
 	work, shares := 0.0, 0.0
 	for i := range classes {
@@ -82,11 +84,11 @@
 	return time.Duration(work / shares)
 }
 
-// quota is the token bucket of a plan as the clients reckon with it.
+// quota is the token bucket of a plan, with which the load of customers is calculated.
 type quota struct{ rate, burst float64 }
 
-// quotaOf returns a plan's token bucket. A plan that bounds the attempts in flight alone has the rate that leaves
-// concurrencyHeadroom on idle endpoints.
+// quotaOf returns a plan's token bucket. A plan that limits only the attempts in flight gets the rate at which its
+// customers keep MaxConcurrent / concurrencyHeadroom attempts in flight on idle endpoints.
 func quotaOf(scenario *emulator.Scenario, plan *emulator.Plan) quota {
 	if plan.Rate > 0 {
 		return quota{plan.Rate, plan.Burst}
@@ -94,34 +96,35 @@
 	return quota{rate: plan.MaxConcurrent / concurrencyHeadroom / workPerUnit(scenario.Classes).Seconds()}
 }
 
-// use returns how many units a second of a customer's requests are inside the quota over the length of a run, as one
-// gateway that saw all of them would count. Requests are taken as a steady stream at the customer's rate.
-func (q quota) use(c *customer, length, spikeLength time.Duration) float64 {
-	level, inside := q.burst, 0.0
+// inQuotaRate returns how many units a second of a customer's requests are within the quota, averaged over the length
+// of a run, as a single gateway that receives all of them would count. Requests are treated as a continuous flow at
+// the customer's rate.
+func (q quota) inQuotaRate(c *customer, length, spikeLength time.Duration) float64 {
+	level, inQuota := q.burst, 0.0
 	for at := time.Duration(0); at < length; {
 		rate, until := c.rateAt(at, spikeLength)
 		until = min(until, length)
 		seconds := (until - at).Seconds()
 		if rate <= q.rate {
-			inside += rate * seconds
+			inQuota += rate * seconds
 			level = min(q.burst, level+(q.rate-rate)*seconds)
 		} else {
 			fromBurst := min(level, (rate-q.rate)*seconds)
-			inside += q.rate*seconds + fromBurst
+			inQuota += q.rate*seconds + fromBurst
 			level -= fromBurst
 		}
 		at = until
 	}
-	return inside / length.Seconds()
+	return inQuota / length.Seconds()
 }
 
-// newCustomers draws customers of each plan until their use inside the quotas is the plan's share of the load.
+// newCustomers draws customers of each plan until their in-quota usage equals the plan's share of the load.
 func newCustomers(scenario *emulator.Scenario, random *rand.Rand) []customer {
 	shares := 0.0
 	for i := range scenario.Plans {
 		shares += scenario.Plans[i].Share
 	}
-	load := scenario.Clients.Load * EndpointWork(scenario)
+	load := scenario.Clients.Load * EndpointCapacity(scenario)
 	var customers []customer
 	for plan := range scenario.Plans {
 		use := load * scenario.Plans[plan].Share / shares
@@ -130,78 +133,79 @@
 	return customers
 }
 
-// appendPlanCustomers appends customers of a plan until their use inside the quota is the given one. The last customer
-// is a steady one who uses what the others leave.
+// appendPlanCustomers appends customers of a plan until their in-quota usage adds up to inQuotaRate. The last customer
+// has a constant rate that makes up the remainder.
 func appendPlanCustomers(
-	customers []customer, scenario *emulator.Scenario, plan int, use float64, random *rand.Rand,
+	customers []customer, scenario *emulator.Scenario, plan int, inQuotaRate float64, random *rand.Rand,
 ) []customer {
 	bucket := quotaOf(scenario, &scenario.Plans[plan])
-	habits := newHabitSequence(&scenario.Clients, random)
-	for use > leastUse {
+	patterns := newPatternSequence(&scenario.Clients, random)
+	for inQuotaRate > minRemainingUse {
 		next := customer{
-			id:   policy.CustomerID((uint64(len(customers)) + 1) * customerIDScatter & customerIDMask),
+			id:   policy.CustomerID((uint64(len(customers)) + 1) * customerIDMultiplier & customerIDMask),
 			plan: plan,
 		}
 		next.setFirst, next.setSize = drawSet(scenario, &scenario.Plans[plan], random)
-		next.drawRates(scenario, bucket.rate, habits.next(), random)
-		nextUse := bucket.use(&next, scenario.Length.Of(), scenario.Clients.SpikeLength.Of())
-		if nextUse > use {
-			nextUse = use
-			next.rate, next.spikes = use, nil
+		next.drawRates(scenario, bucket.rate, patterns.next(), random)
+		nextUse := bucket.inQuotaRate(&next, scenario.Length.Of(), scenario.Clients.SpikeLength.Of())
+		if nextUse > inQuotaRate {
+			nextUse = inQuotaRate
+			next.rate, next.spikeStarts = inQuotaRate, nil
 		}
-		use -= nextUse
+		inQuotaRate -= nextUse
 		customers = append(customers, next)
 	}
 	return customers
 }
 
-// drawRates draws how much a customer of some habit requests.
-func (c *customer) drawRates(scenario *emulator.Scenario, quotaRate float64, kind habit, random *rand.Rand) {
+// drawRates draws the rates and spikes of a customer with the given usage pattern.
+func (c *customer) drawRates(scenario *emulator.Scenario, quotaRate float64, pattern usagePattern, random *rand.Rand) {
 	clients := &scenario.Clients
-	switch kind {
-	case habitGreedy:
+	switch pattern {
+	case patternGreedy:
 		c.rate = clients.GreedyFactor * quotaRate
-	case habitFull:
-		c.rate = quotaRate * between(fullUseLeast, fullUseMost, random)
+	case patternFull:
+		c.rate = quotaRate * uniform(minFullUse, maxFullUse, random)
 	default:
-		use := clients.CalmUse * between(1-calmUseSpread, 1+calmUseSpread, random)
-		c.rate = quotaRate * min(use, calmUseMost)
+		use := clients.CalmUse * uniform(1-calmUseSpread, 1+calmUseSpread, random)
+		c.rate = quotaRate * min(use, maxCalmUse)
 	}
-	if kind == habitSpiky {
+	if pattern == patternSpiky {
 		c.spikeRate = clients.SpikeFactor * quotaRate
-		c.spikes = drawSpikes(clients, scenario.Length.Of(), random)
+		c.spikeStarts = drawSpikes(clients, scenario.Length.Of(), random)
 	}
 }
 
-// drawSpikes draws when the spikes of a customer begin. They do not overlap.
+// drawSpikes draws when the spikes of a customer start. Spikes do not overlap.
 func drawSpikes(clients *emulator.Clients, length time.Duration, random *rand.Rand) []time.Duration {
 	pause := clients.SpikeEvery.Of() - clients.SpikeLength.Of()
-	var begins []time.Duration
-	for at := scaled(clients.SpikeEvery.Of(), random.Float64()); at < length; {
-		begins = append(begins, at)
-		at += clients.SpikeLength.Of() + scaled(pause, between(1-spikeGapSpread, 1+spikeGapSpread, random))
+	var starts []time.Duration
+	for at := scaleDuration(clients.SpikeEvery.Of(), random.Float64()); at < length; {
+		starts = append(starts, at)
+		at += clients.SpikeLength.Of() + scaleDuration(pause, uniform(1-spikeGapSpread, 1+spikeGapSpread, random))
 	}
-	return begins
+	return starts
 }
 
-// drawSet draws the gateways that carry a customer: some in a row, counted round. Under a ceiling there are no more of
-// them than can hold two of the largest requests each of the ceiling's burst.
+// drawSet draws the gateways that carry a customer: consecutive numbers, which wrap around. With a ceiling, the set is
+// small enough that each gateway's part of the ceiling's burst holds two requests of the largest size, but it has at
+// least minSetSize gateways.
 func drawSet(scenario *emulator.Scenario, plan *emulator.Plan, random *rand.Rand) (first, size int) {
-	share := between(scenario.Clients.SetMin, scenario.Clients.SetMax, random)
+	share := uniform(scenario.Clients.SetMin, scenario.Clients.SetMax, random)
 	size = int(math.Round(share * float64(scenario.Gateways)))
 	if plan.CeilingRate > 0 {
 		size = min(size, int(plan.CeilingBurst/float64(2*scenario.Clients.MaxUnits)))
 	}
-	size = min(max(size, leastSetSize), scenario.Gateways)
+	size = min(max(size, minSetSize), scenario.Gateways)
 	return random.IntN(scenario.Gateways), size
 }
 
-// drawRank draws one of count ranks from 0, of which rank r has a weight of about (r+1)^-skew.
+// drawRank draws a rank from 0 to count - 1. The probability of rank r is about proportional to (r+1)^-skew.
 func drawRank(count int, skew float64, random *rand.Rand) int {
 	if skew <= 0 {
 		return random.IntN(count)
 	}
-	// The inverse of the distribution function of the density x^-skew from 1 to count + 1.
+	// x is the inverse of the distribution function of the density x^-skew on the range 1 to count + 1.
 	draw, end := random.Float64(), float64(count+1)
 	var x float64
 	if power := 1 - skew; math.Abs(power) < 1e-9 {
@@ -212,65 +216,65 @@
 	return min(int(x)-1, count-1)
 }
 
-// offeredBy adds up what customers request.
-func offeredBy(scenario *emulator.Scenario, customers []customer) Offered {
-	offered := Offered{Customers: len(customers), CapacityUnits: EndpointWork(scenario)}
+// offeredLoad adds up the load that the customers offer.
+func offeredLoad(scenario *emulator.Scenario, customers []customer) Offered {
+	offered := Offered{Customers: len(customers), CapacityUnits: EndpointCapacity(scenario)}
 	length, spikeLength := scenario.Length.Of(), scenario.Clients.SpikeLength.Of()
 	unlimited := quota{rate: math.Inf(1)}
 	for i := range customers {
 		c := &customers[i]
 		bucket := quotaOf(scenario, &scenario.Plans[c.plan])
-		offered.InQuotaUnits += bucket.use(c, length, spikeLength)
-		offered.RequestedUnits += unlimited.use(c, length, spikeLength)
+		offered.InQuotaUnits += bucket.inQuotaRate(c, length, spikeLength)
+		offered.RequestedUnits += unlimited.inQuotaRate(c, length, spikeLength)
 	}
 	return offered
 }
 
-// habit is how a customer makes use of its quota.
-type habit uint8
+// usagePattern is how a customer uses its quota.
+type usagePattern uint8
 
 const (
-	habitCalm habit = iota
-	habitFull
-	habitGreedy
-	habitSpiky
+	patternCalm usagePattern = iota
+	patternFull
+	patternGreedy
+	patternSpiky
 )
 
-// habitSequence gives the habits of customers such that the share of each is kept as well as it can be also among a few
-// of them: it steps round a circle by the golden ratio.
-type habitSequence struct {
+// patternSequence generates the usage patterns of successive customers. It steps around a circle by the golden ratio,
+// so that the share of each pattern is kept as closely as possible even among a few customers.
+type patternSequence struct {
 	clients  *emulator.Clients
 	position float64
 }
 
-func newHabitSequence(clients *emulator.Clients, random *rand.Rand) *habitSequence {
-	return &habitSequence{clients: clients, position: random.Float64()}
+func newPatternSequence(clients *emulator.Clients, random *rand.Rand) *patternSequence {
+	return &patternSequence{clients: clients, position: random.Float64()}
 }
 
-func (s *habitSequence) next() habit {
+func (s *patternSequence) next() usagePattern {
 	_, s.position = math.Modf(s.position + math.Phi - 1)
 	full := s.clients.FullShare
 	greedy := full + s.clients.GreedyShare
 	spiky := greedy + s.clients.SpikyShare
 	switch {
 	case s.position < full:
-		return habitFull
+		return patternFull
 	case s.position < greedy:
-		return habitGreedy
+		return patternGreedy
 	case s.position < spiky:
-		return habitSpiky
+		return patternSpiky
 	default:
-		return habitCalm
+		return patternCalm
 	}
 }
 
-// between draws a number from least to most.
-func between(least, most float64, random *rand.Rand) float64 {
-	return least + (most-least)*random.Float64()
+// uniform draws a number uniformly from minimum to maximum.
+func uniform(minimum, maximum float64, random *rand.Rand) float64 {
+	return minimum + (maximum-minimum)*random.Float64()
 }
 
-// mix scatters the bits of a number (the finalizer of SplitMix64).
-func mix(x uint64) uint64 {
+// splitMix64 hashes a number with the finalizer of SplitMix64.
+func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/emulator/model/customers_test.go
+++ b/internal/emulator/model/customers_test.go
@@ -12,7 +12,7 @@
 	"springfield/policy"
 )
 
-func TestUseInsideQuotasIsTheLoad(t *testing.T) {
+func TestExpectedInQuotaUsageEqualsTheLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scenario := DefaultScenario()
 		scenario.Gateways = rapid.IntRange(1, 300).Draw(t, "gateways")
@@ -27,15 +27,16 @@
 			t.Fatal(err)
 		}
 		offered := NewWorkload(&scenario, 1, 0).Offered()
-		want := scenario.Clients.Load * EndpointWork(&scenario)
+		want := scenario.Clients.Load * EndpointCapacity(&scenario)
 		if math.Abs(offered.InQuotaUnits/want-1) > 1e-6 || offered.RequestedUnits < offered.InQuotaUnits-1e-6 {
-			t.Fatalf("the clients request %+v, want %v inside the quotas", offered, want)
+			t.Fatalf("clients offer %+v, want %v units a second within the quotas", offered, want)
 		}
 	})
 }
 
-// TestRequestsInsideQuotasAreTheLoad counts the requests themselves with a token bucket for each customer.
-func TestRequestsInsideQuotasAreTheLoad(t *testing.T) {
+// TestGeneratedInQuotaRequestsMatchTheLoad counts the generated requests with a token bucket for each customer, since
+// the offered load is calculated from rates without them.
+func TestGeneratedInQuotaRequestsMatchTheLoad(t *testing.T) {
 	type bucket struct {
 		level float64
 		at    time.Duration
@@ -45,7 +46,7 @@
 	scenario.Length = emulator.Duration(60 * time.Second)
 	w := NewWorkload(&scenario, 3, testStart)
 	buckets := make(map[policy.CustomerID]*bucket)
-	inside, requested := 0.0, 0.0
+	inQuota, requested := 0.0, 0.0
 	for _, a := range firstTries(w) {
 		plan := &scenario.Plans[a.Plan]
 		b := buckets[a.Customer]
@@ -58,48 +59,48 @@
 		requested += a.TrueUnits
 		if b.level >= a.TrueUnits {
 			b.level -= a.TrueUnits
-			inside += a.TrueUnits
+			inQuota += a.TrueUnits
 		}
 	}
 	seconds := scenario.Length.Of().Seconds()
-	if want := scenario.Clients.Load * EndpointWork(&scenario); math.Abs(inside/seconds/want-1) > 0.05 {
-		t.Errorf("%v units a second are inside the quotas, want about %v", inside/seconds, want)
+	if want := scenario.Clients.Load * EndpointCapacity(&scenario); math.Abs(inQuota/seconds/want-1) > 0.05 {
+		t.Errorf("%v units a second are within the quotas, want about %v", inQuota/seconds, want)
 	}
 	if want := w.Offered().RequestedUnits; math.Abs(requested/seconds/want-1) > 0.05 {
 		t.Errorf("%v units a second are requested, want about %v", requested/seconds, want)
 	}
 }
 
-func TestHabitsHaveTheirShares(t *testing.T) {
+func TestUsagePatternsOccurAtTheirShares(t *testing.T) {
 	scenario := DefaultScenario()
 	scenario.Clients.FullShare, scenario.Clients.GreedyShare, scenario.Clients.SpikyShare = 0.2, 0.1, 0.3
-	habits := newHabitSequence(&scenario.Clients, rand.New(rand.NewPCG(1, 1)))
+	patterns := newPatternSequence(&scenario.Clients, rand.New(rand.NewPCG(1, 1)))
 	var counts [4]int
 	const customers = 50
 	for range customers {
-		counts[habits.next()]++
+		counts[patterns.next()]++
 	}
-	for kind, want := range map[habit]int{habitCalm: 20, habitFull: 10, habitGreedy: 5, habitSpiky: 15} {
+	for kind, want := range map[usagePattern]int{patternCalm: 20, patternFull: 10, patternGreedy: 5, patternSpiky: 15} {
 		if got := counts[kind]; got < want-2 || got > want+2 {
-			t.Errorf("habit %d: %d of %d customers, want about %d", kind, got, customers, want)
+			t.Errorf("usage pattern %d: %d of %d customers, want about %d", kind, got, customers, want)
 		}
 	}
 }
 
-func TestRatesFollowHabits(t *testing.T) {
+func TestRatesFollowUsagePatterns(t *testing.T) {
 	scenario := DefaultScenario()
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 100 {
 		var calm, full, greedy, spiky customer
-		calm.drawRates(&scenario, 10, habitCalm, random)
-		full.drawRates(&scenario, 10, habitFull, random)
-		greedy.drawRates(&scenario, 10, habitGreedy, random)
-		spiky.drawRates(&scenario, 10, habitSpiky, random)
+		calm.drawRates(&scenario, 10, patternCalm, random)
+		full.drawRates(&scenario, 10, patternFull, random)
+		greedy.drawRates(&scenario, 10, patternGreedy, random)
+		spiky.drawRates(&scenario, 10, patternSpiky, random)
 		if calm.rate < 1.7 || calm.rate > 5.3 || full.rate < 8.5 || full.rate > 9.8 || greedy.rate != 30 {
-			t.Fatalf("calm %v, full %v and greedy %v of a quota of 10", calm.rate, full.rate, greedy.rate)
+			t.Fatalf("rates with a quota of 10: calm %v, full %v, greedy %v", calm.rate, full.rate, greedy.rate)
 		}
-		if spiky.spikeRate != 40 || spiky.rate > 5.3 || len(calm.spikes)+len(greedy.spikes) > 0 {
-			t.Fatalf("spiky: %+v", spiky)
+		if spiky.spikeRate != 40 || spiky.rate > 5.3 || len(calm.spikeStarts)+len(greedy.spikeStarts) > 0 {
+			t.Fatalf("unexpected spikes: spiky customer %+v", spiky)
 		}
 	}
 }
@@ -107,16 +108,16 @@
 func TestSpikesComeAtTheirMeanIntervalWithoutOverlap(t *testing.T) {
 	clients := DefaultScenario().Clients
 	length := 10 * time.Hour
-	spikes := drawSpikes(&clients, length, rand.New(rand.NewPCG(1, 1)))
-	for i := 1; i < len(spikes); i++ {
-		if spikes[i] < spikes[i-1]+clients.SpikeLength.Of() {
-			t.Fatalf("spikes at %v and %v overlap", spikes[i-1], spikes[i])
+	spikeStarts := drawSpikes(&clients, length, rand.New(rand.NewPCG(1, 1)))
+	for i := 1; i < len(spikeStarts); i++ {
+		if spikeStarts[i] < spikeStarts[i-1]+clients.SpikeLength.Of() {
+			t.Fatalf("spikes at %v and %v overlap", spikeStarts[i-1], spikeStarts[i])
 		}
 	}
-	if mean := length / time.Duration(len(spikes)); mean < 11800*time.Millisecond || mean > 12200*time.Millisecond {
-		t.Errorf("spikes come every %v, want 12s", mean)
+	if mean := length / time.Duration(len(spikeStarts)); mean < 11800*time.Millisecond || mean > 12200*time.Millisecond {
+		t.Errorf("mean interval between spikes %v, want 12s", mean)
 	}
-	c := customer{rate: 1, spikeRate: 4, spikes: []time.Duration{5 * time.Second, 9 * time.Second}}
+	c := customer{rate: 1, spikeRate: 4, spikeStarts: []time.Duration{5 * time.Second, 9 * time.Second}}
 	for _, step := range []struct {
 		at, until time.Duration
 		rate      float64
@@ -134,17 +135,17 @@
 	}
 }
 
-func TestSetsUnderACeilingAreSmall(t *testing.T) {
+func TestCeilingLimitsTheGatewaySetSize(t *testing.T) {
 	scenario := DefaultScenario()
 	scenario.Gateways = 100
 	plan := emulator.Plan{CeilingRate: 5, CeilingBurst: 50}
 	for range 100 {
 		if _, size := drawSet(&scenario, &plan, rand.New(rand.NewPCG(1, 1))); size != 6 {
-			t.Fatalf("%d gateways share a ceiling of 50 units, want 50 / (2 x 4)", size)
+			t.Fatalf("%d gateways share a ceiling burst of 50 units, want 50 / (2 x 4) = 6", size)
 		}
 	}
 	scenario.Gateways = 1
 	if first, size := drawSet(&scenario, &plan, rand.New(rand.NewPCG(1, 1))); first != 0 || size != 1 {
-		t.Errorf("the set of a single gateway: %d from %d", size, first)
+		t.Errorf("set of a single gateway: size %d from gateway %d", size, first)
 	}
 }
--- a/internal/emulator/model/defaults.go
+++ b/internal/emulator/model/defaults.go
@@ -6,8 +6,8 @@
 	"springfield/internal/emulator"
 )
 
-// DefaultScenario returns a small sound deployment: 3 gateways, 8 endpoints, 3 plans and 2 classes under a moderate
-// load for 20 s, without faults. Each call returns a scenario of its own.
+// DefaultScenario returns a small, valid deployment: 3 gateways, 8 endpoints, 3 plans and 2 classes under a moderate
+// load for 20 s, without faults. Scenarios of different calls share no memory.
 func DefaultScenario() emulator.Scenario {
 	return emulator.Scenario{
 		Name:        "default",
--- a/internal/emulator/model/mean_work.go
+++ b/internal/emulator/model/mean_work.go
@@ -6,7 +6,8 @@
 	"springfield/internal/emulator"
 )
 
-// MeanWork returns the mean work of a request on a core. The rule on slow start counts in requests of mean work.
+// MeanWork returns the mean work of a request on a core at speed 1. The overload rule for endpoints that warm up
+// counts work in multiples of it.
 func MeanWork(scenario *emulator.Scenario) time.Duration {
-	return scaled(workPerUnit(scenario.Classes), meanUnits(&scenario.Clients))
+	return scaleDuration(workPerUnit(scenario.Classes), meanUnits(&scenario.Clients))
 }
--- a/internal/emulator/model/retries.go
+++ b/internal/emulator/model/retries.go
@@ -7,15 +7,18 @@
 	"springfield/internal/emulator"
 )
 
-// retryElsewhere is the share of the retries that come through another gateway although the client's gateway answers.
-const retryElsewhere = 0.5
+// otherGatewayRetryShare is the share of retries that go through another gateway although the gateway of the previous
+// try has answered.
+const otherGatewayRetryShare = 0.5
 
-// backoffJitter makes backoffs random: they are the usual one times 1 - this to 1 + this.
+// backoffJitter is the relative spread of backoffs: they are drawn uniformly from 1 - backoffJitter to 1 +
+// backoffJitter times the nominal backoff.
 const backoffJitter = 0.5
 
-// Retry returns a client's next try after a final answer to the previous one, and false if there is none: it was
-// served, the client has no retries, time or interest left, or its class forbids another try. It changes nothing in
-// the workload, and the same arguments give the same try.
+// Retry returns a client's next try after the final answer to the previous one. It returns false if there is none:
+// the previous try was served, the retries are used up, the client's last deadline or early disconnect would come
+// first, or the class does not allow a repeat. Retry does not change the workload, and equal arguments give equal
+// tries.
 func (w *Workload) Retry(
 	previous Arrival, answer emulator.Answer, retryAfter, now time.Duration,
 ) (Arrival, bool) {
@@ -30,7 +33,7 @@
 	if !w.mayRetry(&next, answer) {
 		return Arrival{}, false
 	}
-	if answer == emulator.AnswerMissing || random.Float64() < retryElsewhere {
+	if answer == emulator.AnswerMissing || random.Float64() < otherGatewayRetryShare {
 		next.Gateway = otherGateway(&previous, w.scenario.Gateways, random)
 	}
 	deadline := w.scenario.Classes[next.Class].Deadline.Of()
@@ -38,7 +41,7 @@
 	return next, true
 }
 
-// mayRetry tells whether a client sends a further try after the given answer to the one before.
+// mayRetry reports whether a client sends the next try after the given answer to the previous one.
 func (w *Workload) mayRetry(next *Arrival, answer emulator.Answer) bool {
 	if next.At >= next.LastDeadline || next.AbandonAt != 0 && next.At >= next.AbandonAt {
 		return false
@@ -47,14 +50,14 @@
 	case emulator.AnswerRejected:
 		return true
 	case emulator.AnswerFailed, emulator.AnswerMissing:
-		return w.mayRepeat(next)
+		return w.isRepeatSafe(next)
 	default: // served
 		return false
 	}
 }
 
-// mayRepeat tells whether a try does no harm although one before it may have been executed.
-func (w *Workload) mayRepeat(next *Arrival) bool {
+// isRepeatSafe reports whether the next try is harmless although an earlier try may have been executed.
+func (w *Workload) isRepeatSafe(next *Arrival) bool {
 	class := &w.scenario.Classes[next.Class]
 	switch class.Idempotency {
 	case idempotencyRepeatable:
@@ -67,23 +70,25 @@
 	}
 }
 
-// retryDelay draws how long a client waits before its next try: a backoff, and the Retry-After as far as it is heeded.
+// retryDelay draws how long a client waits before its next try: an exponential backoff or, if that is longer, the
+// Retry-After of the answer up to Limits.MaxRetryAfter. The Retry-After counts only if Limits.RetryAfter is set.
 func (w *Workload) retryDelay(try int, retryAfter time.Duration, random *rand.Rand) time.Duration {
-	factor := float64(uint64(1)<<try) * between(1-backoffJitter, 1+backoffJitter, random)
-	backoff := scaled(w.scenario.Clients.RetryDelay.Of(), factor)
+	factor := float64(uint64(1)<<try) * uniform(1-backoffJitter, 1+backoffJitter, random)
+	backoff := scaleDuration(w.scenario.Clients.RetryDelay.Of(), factor)
 	if !w.scenario.Limits.RetryAfter {
 		return backoff
 	}
 	return max(backoff, min(retryAfter, w.scenario.Limits.MaxRetryAfter.Of()))
 }
 
-// Redirect returns the gateway to which the front takes a request: its own, or if that is down another one of the
-// customer's set that is up. If all of them are down it is the request's own.
+// Redirect returns the gateway to which the load balancer in front of the gateways routes a request: the request's
+// own gateway or, if that is down, another one of the customer's set that is up. If the whole set is down, Redirect
+// returns the request's own gateway.
 func (w *Workload) Redirect(arrival *Arrival, isUp func(gateway int) bool) int {
 	if isUp(arrival.Gateway) {
 		return arrival.Gateway
 	}
-	offset := int(mix(w.seed^uint64(arrival.Request)) % uint64(arrival.SetSize))
+	offset := int(splitMix64(w.seed^uint64(arrival.Request)) % uint64(arrival.SetSize))
 	for i := range arrival.SetSize {
 		gateway := (arrival.SetFirst + (offset+i)%arrival.SetSize) % w.scenario.Gateways
 		if isUp(gateway) {
@@ -93,7 +98,7 @@
 	return arrival.Gateway
 }
 
-// otherGateway draws another gateway of the customer's set, if there is one.
+// otherGateway draws another gateway of the customer's set. It returns the previous gateway if the set has no other.
 func otherGateway(previous *Arrival, gateways int, random *rand.Rand) int {
 	if previous.SetSize < 2 {
 		return previous.Gateway
@@ -103,7 +108,8 @@
 	return (previous.SetFirst + position) % gateways
 }
 
-// retryRandom returns the random numbers of the try that follows the previous one. They depend on nothing else.
+// retryRandom returns the random number generator for the retry of a try. It depends only on the seed and on the key
+// of that try.
 func (w *Workload) retryRandom(previous Arrival) *rand.Rand {
-	return rand.New(rand.NewPCG(w.seed^streamRetries, mix(uint64(previous.Request))))
+	return rand.New(rand.NewPCG(w.seed^streamRetries, splitMix64(uint64(previous.Request))))
 }
--- a/internal/emulator/model/settings.go
+++ b/internal/emulator/model/settings.go
@@ -8,26 +8,29 @@
 	"springfield/internal/settings"
 )
 
-// AnswerGrace is how long after its deadline a request may still get its final answer. Later it counts as lost.
+// AnswerGrace is how long after its deadline a request may still get its final answer. A request without an answer by
+// then counts as lost.
 const AnswerGrace = 500 * time.Millisecond
 
-// longestPollInterval is the longest time between two polls of a polled endpoint list. A gateway that has not polled
-// for so long counts as notified of what was listed before.
-const longestPollInterval = 10 * time.Second
+// maxPollInterval is the longest allowed time between two polls of a polled endpoint list. A gateway that has not
+// polled for this long counts as notified of everything that was listed before.
+const maxPollInterval = 10 * time.Second
 
-// settingsGranularity is the shortest time between two batches of events. Only the simulator's adapter would use it.
+// settingsGranularity is the shortest time between two batches of events of the simulator. Gateways ignore this
+// setting.
 const settingsGranularity = time.Millisecond
 
 // Zones returns the number of zones of a scenario, at least one.
 func Zones(scenario *emulator.Scenario) int { return max(1, scenario.Zones) }
 
-// ZoneOf returns the zone of a gateway or an endpoint by its number. Zones take their members in turn.
+// ZoneOf returns the zone, counted from 0, of the gateway or endpoint with the given number. Numbers are assigned to
+// the zones round robin.
 func ZoneOf(scenario *emulator.Scenario, number int) int { return number % Zones(scenario) }
 
-// ZoneName returns the name of a zone, as the endpoint list and the settings give it.
+// ZoneName returns the name of a zone in the endpoint list and in the settings.
 func ZoneName(zone int) string { return fmt.Sprintf("zone-%d", zone+1) }
 
-// Settings returns what a gateway of the deployment is configured with.
+// Settings returns the settings of one gateway of the deployment.
 func Settings(scenario *emulator.Scenario, gateway int) settings.Settings {
 	configured := settings.Settings{
 		Balancers:     scenario.Gateways,
@@ -110,7 +113,7 @@
 
 func safetySettings(scenario *emulator.Scenario) settings.Safety {
 	return settings.Safety{
-		AskWithinMs:     milliseconds(longestPollInterval),
+		AskWithinMs:     milliseconds(maxPollInterval),
 		DrainGraceMs:    milliseconds(scenario.Endpoints.DrainGrace.Of()),
 		GraceToAnswerMs: milliseconds(AnswerGrace),
 		ColdFrom:        scenario.WarmUp.InitialCapacity,
--- a/internal/emulator/model/settings_test.go
+++ b/internal/emulator/model/settings_test.go
@@ -10,14 +10,14 @@
 	"springfield/policy"
 )
 
-func TestSettingsConfigureThePolicyOfAGateway(t *testing.T) {
+func TestSettingsYieldThePolicyConfigOfAGateway(t *testing.T) {
 	scenario := DefaultScenario()
 	scenario.Zones = 2
 	scenario.Plans[1].CeilingRate, scenario.Plans[1].CeilingBurst, scenario.Plans[1].MaxConcurrent = 9, 30, 3
 	scenario.Classes[1].Idempotency, scenario.Classes[1].Scope = "deduplicated", "zone"
 	scenario.Classes[1].KeyTTL = emulator.Duration(3 * time.Second)
 
-	// As a gateway reads them: from the JSON of its configuration.
+	// A gateway reads the settings from the JSON of its configuration file.
 	text, err := json.Marshal(Settings(&scenario, 1))
 	if err != nil {
 		t.Fatal(err)
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestSettingsOfTheDeployment(t *testing.T) {
+func TestSettingsDescribeTheDeployment(t *testing.T) {
 	scenario := DefaultScenario()
 	scenario.Zones, scenario.Discovery.Polled, scenario.Endpoints.LoadReports = 2, true, true
 	scenario.Classes[0].Scope = ""
--- a/internal/emulator/model/validate_test.go
+++ b/internal/emulator/model/validate_test.go
@@ -10,7 +10,7 @@
 	"springfield/internal/emulator"
 )
 
-// invalidPaths returns the paths of everything that is wrong with a scenario.
+// invalidPaths returns the paths of all errors of a scenario.
 func invalidPaths(t *testing.T, scenario *emulator.Scenario) []string {
 	t.Helper()
 	err := Validate(scenario)
@@ -19,15 +19,15 @@
 	}
 	joined, ok := err.(interface{ Unwrap() []error })
 	if !ok {
-		t.Fatalf("%T is no joined error", err)
+		t.Fatalf("error of type %T is not a joined error", err)
 	}
 	var paths []string
 	for _, err := range joined.Unwrap() {
-		var wrong *ScenarioError
-		if !errors.As(err, &wrong) || wrong.Reason == "" {
-			t.Fatalf("%v is no ScenarioError with a reason", err)
+		var scenarioErr *ScenarioError
+		if !errors.As(err, &scenarioErr) || scenarioErr.Reason == "" {
+			t.Fatalf("error %v is not a ScenarioError with a reason", err)
 		}
-		paths = append(paths, wrong.Path)
+		paths = append(paths, scenarioErr.Path)
 	}
 	return paths
 }
@@ -39,16 +39,16 @@
 	}
 	scenario.Classes[0].Name = "changed"
 	if again := DefaultScenario(); again.Classes[0].Name == "changed" {
-		t.Error("two default scenarios share their classes")
+		t.Error("two default scenarios share their classes in memory")
 	}
 }
 
-func TestValidateNamesThePathOfWhatIsWrong(t *testing.T) {
+func TestValidateReportsThePathOfAnInvalidValue(t *testing.T) {
 	fault := func(f emulator.Fault) func(*emulator.Scenario) {
 		return func(s *emulator.Scenario) { s.Faults = []emulator.Fault{f} }
 	}
 	second := emulator.Duration(time.Second)
-	for path, spoil := range map[string]func(*emulator.Scenario){
+	for path, invalidate := range map[string]func(*emulator.Scenario){
 		"length":                   func(s *emulator.Scenario) { s.Length = 0 },
 		"gateways":                 func(s *emulator.Scenario) { s.Gateways = 0 },
 		"zones":                    func(s *emulator.Scenario) { s.Zones = -1 },
@@ -83,14 +83,14 @@
 		"faults[0].factor":         fault(emulator.Fault{Kind: emulator.FaultResets, Length: second, Factor: 2}),
 	} {
 		scenario := DefaultScenario()
-		spoil(&scenario)
+		invalidate(&scenario)
 		if got := invalidPaths(t, &scenario); !slices.Equal(got, []string{path}) {
-			t.Errorf("want the path %q, got %q", path, got)
+			t.Errorf("path %q is invalid, but Validate reported %q", path, got)
 		}
 	}
 }
 
-func TestFaultsOfAllKindsCanBeValid(t *testing.T) {
+func TestValidateAcceptsEveryKindOfFault(t *testing.T) {
 	scenario := DefaultScenario()
 	for _, kind := range []emulator.FaultKind{
 		emulator.FaultKillGateways, emulator.FaultRestartGateways, emulator.FaultDrainEndpoints, emulator.FaultReplace,
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestValidateBoundsTheCustomers(t *testing.T) {
+func TestValidateLimitsTheNumberOfCustomers(t *testing.T) {
 	scenario := DefaultScenario()
 	scenario.Endpoints.Count, scenario.Plans[0].Rate = 100_000, 0.01
 	if got := invalidPaths(t, &scenario); !slices.Equal(got, []string{"clients.load"}) {
--- a/internal/emulator/model/workload.go
+++ b/internal/emulator/model/workload.go
@@ -11,7 +11,7 @@
 	"springfield/policy"
 )
 
-// The values of emulator.Class.Idempotency and Scope are those of the gateways' settings.
+// Values of emulator.Class.Idempotency and emulator.Class.Scope. They equal those of the gateways' settings.
 const (
 	idempotencyRepeatable = settings.RepeatIdempotent
 	idempotencyByKey      = settings.RepeatDeduplicated
@@ -21,63 +21,63 @@
 	scopeCell             = settings.GroupCell
 )
 
-// latestAbandonment is the latest time at which an impatient client disconnects, as a share of the time that it would
-// wait for its first try.
-const latestAbandonment = 0.5
+// maxAbandonFraction is the latest time at which a client that abandons its request disconnects, as a share of the
+// time that it would wait for its first try.
+const maxAbandonFraction = 0.5
 
-// Arrival is one try of a client: a request whose last byte is sent to a gateway at a given time.
+// Arrival is one try of a client: a request whose last byte is sent to a gateway at the time At.
 type Arrival struct {
-	At                time.Duration // Unix time of the run
+	At                time.Duration // Unix time
 	Request, Original emulator.RequestKey
 	Gateway           int
 	Customer          policy.CustomerID
 	Plan, Class       int
-	Units, TrueUnits  float64
+	Units, TrueUnits  float64       // size stated in the request, and the size that the usage is settled to
 	Work              time.Duration // on one core of an endpoint of speed 1; the same in every try
-	SetFirst, SetSize int
-	Deadline          time.Duration // Unix time when the client gives this try up
-	LastDeadline      time.Duration // Unix time when the client gives up altogether
-	AbandonAt         time.Duration // Unix time when the client disconnects early, in whatever try; 0: never
-	Try               int           // 0 for the first one
+	SetFirst, SetSize int           // gateways that carry the customer: SetSize of them in a row from SetFirst
+	Deadline          time.Duration // Unix time at which the client gives up this try
+	LastDeadline      time.Duration // Unix time at which the client gives up the request with all its tries
+	AbandonAt         time.Duration // Unix time at which the client disconnects early, in whichever try; 0: never
+	Try               int           // number of the try; 0 for the first
 }
 
-// Offered describes the load that a workload offers before any bursts of all customers.
+// Offered describes the load that a workload offers, without the burst of all customers.
 type Offered struct {
 	Customers      int
-	CapacityUnits  float64 // units a second that all endpoints can do
-	InQuotaUnits   float64 // units a second requested inside the quotas
+	CapacityUnits  float64 // units a second that all endpoints together can process when warm
+	InQuotaUnits   float64 // units a second requested within the quotas
 	RequestedUnits float64 // units a second requested in all
 }
 
-// Workload is the clients of a run. Arrivals are independent of answers: an open loop. The first tries depend on the
-// scenario and the seed alone, and a client's retry on these and on what went before it, so that different deciders
-// face the same clients.
+// Workload generates the requests of all clients of a run. It is an open loop: arrivals do not wait for answers. First
+// tries depend on the scenario and the seed alone, and a retry depends in addition on the earlier tries of its request
+// and their answers, so that different deciders face the same clients.
 type Workload struct {
-	scenario  *emulator.Scenario
-	seed      uint64
-	start     time.Duration
-	random    *rand.Rand
-	customers []customer
-	pending   arrivalQueue // the next arrival of each customer
-	classes   []float64    // cumulative shares
-	offered   Offered
-	sent      uint64 // first tries so far
+	scenario      *emulator.Scenario
+	seed          uint64
+	start         time.Duration
+	random        *rand.Rand
+	customers     []customer
+	pending       arrivalQueue // next arrival of each customer
+	classShares   []float64    // cumulative, by class
+	offered       Offered
+	firstTryCount uint64 // first tries generated so far
 }
 
-// NewWorkload returns the clients of a valid scenario. Their first requests come at start or later.
+// NewWorkload returns the workload of a valid scenario. No request arrives before start.
 func NewWorkload(scenario *emulator.Scenario, seed uint64, start time.Duration) *Workload {
 	w := &Workload{
-		scenario: scenario,
-		seed:     seed,
-		start:    start,
-		random:   rand.New(rand.NewPCG(seed, streamArrivals)),
-		classes:  cumulativeShares(scenario.Classes),
+		scenario:    scenario,
+		seed:        seed,
+		start:       start,
+		random:      rand.New(rand.NewPCG(seed, streamArrivals)),
+		classShares: cumulativeShares(scenario.Classes),
 	}
 	w.customers = newCustomers(scenario, rand.New(rand.NewPCG(seed, streamCustomers)))
-	w.offered = offeredBy(scenario, w.customers)
+	w.offered = offeredLoad(scenario, w.customers)
 	w.pending = make(arrivalQueue, 0, len(w.customers))
 	for i := range w.customers {
-		if at, ok := w.nextTime(&w.customers[i], 0); ok {
+		if at, ok := w.nextSendTime(&w.customers[i], 0); ok {
 			w.pending = append(w.pending, pendingArrival{at: at, customer: i})
 		}
 	}
@@ -85,10 +85,10 @@
 	return w
 }
 
-// Offered returns what the clients request.
+// Offered returns the load that the clients offer.
 func (w *Workload) Offered() Offered { return w.offered }
 
-// Next returns the first tries in order of time, and false once there are no more.
+// Next returns the next first try in order of time, and false once there are no more.
 func (w *Workload) Next() (Arrival, bool) {
 	if len(w.pending) == 0 {
 		return Arrival{}, false
@@ -96,7 +96,7 @@
 	next := w.pending[0]
 	sender := &w.customers[next.customer]
 	arrival := w.firstTry(sender, next.at)
-	if at, ok := w.nextTime(sender, next.at); ok {
+	if at, ok := w.nextSendTime(sender, next.at); ok {
 		w.pending[0].at = at
 		heap.Fix(&w.pending, 0)
 	} else {
@@ -105,24 +105,25 @@
 	return arrival, true
 }
 
-// nextTime draws when a customer sends its next request after a given time, both after the start. The second result is
-// false once the load is over.
-func (w *Workload) nextTime(sender *customer, after time.Duration) (time.Duration, bool) {
-	wanted := w.random.ExpFloat64() // the expected requests until then, in a Poisson process of any rate
+// nextSendTime draws when a customer sends its next request after the given time. Both times count from the start. The
+// second result is false once the load is over.
+func (w *Workload) nextSendTime(sender *customer, after time.Duration) (time.Duration, bool) {
+	remaining := w.random.ExpFloat64() // expected requests until the next one of a Poisson process
 	for at := after; at < w.scenario.Length.Of(); {
 		rate, until := w.requestRate(sender, at)
 		until = min(until, w.scenario.Length.Of())
 		expected := rate * (until - at).Seconds()
-		if wanted < expected {
-			return at + scaled(time.Second, wanted/rate), true
+		if remaining < expected {
+			return at + scaleDuration(time.Second, remaining/rate), true
 		}
-		wanted -= expected
+		remaining -= expected
 		at = until
 	}
 	return 0, false
 }
 
-// requestRate returns how many requests a second a customer sends at a time after the start, and until when.
+// requestRate returns the requests a second that a customer sends at a time after the start, and until when it keeps
+// this rate.
 func (w *Workload) requestRate(sender *customer, at time.Duration) (rate float64, until time.Duration) {
 	clients := &w.scenario.Clients
 	rate, until = sender.rateAt(at, clients.SpikeLength.Of())
@@ -138,16 +139,16 @@
 	}
 }
 
-// meanUnits returns the mean units of a request, which are drawn evenly from the whole numbers from 1 to MaxUnits.
+// meanUnits returns the mean units of a request. Units are drawn uniformly from the integers 1 to MaxUnits.
 func meanUnits(clients *emulator.Clients) float64 { return float64(1+clients.MaxUnits) / 2 }
 
-// firstTry draws the request that a customer sends at a given time after the start.
+// firstTry draws the request that a customer sends at the given time after the start.
 func (w *Workload) firstTry(sender *customer, at time.Duration) Arrival {
-	w.sent++
+	w.firstTryCount++
 	class := w.drawClass()
 	deadline := w.scenario.Classes[class].Deadline.Of()
 	units := float64(1 + w.random.IntN(w.scenario.Clients.MaxUnits))
-	key := w.keyOf(w.sent - 1)
+	key := w.requestKey(w.firstTryCount - 1)
 	arrival := Arrival{
 		At:           w.start + at,
 		Request:      key,
@@ -156,7 +157,7 @@
 		Customer:     sender.id,
 		Plan:         sender.plan,
 		Class:        class,
-		Units:        w.guessOf(units),
+		Units:        w.estimateUnits(units),
 		TrueUnits:    units,
 		Work:         drawWork(&w.scenario.Classes[class], units, w.random),
 		SetFirst:     sender.setFirst,
@@ -166,18 +167,20 @@
 	wait := w.drawPatience(deadline, w.random)
 	arrival.Deadline = arrival.At + wait
 	if w.random.Float64() < w.scenario.Clients.Abandon {
-		arrival.AbandonAt = arrival.At + max(1, scaled(wait, latestAbandonment*w.random.Float64()))
+		arrival.AbandonAt = arrival.At + max(1, scaleDuration(wait, maxAbandonFraction*w.random.Float64()))
 	}
 	return arrival
 }
 
-// keyOf returns the key of a first try. The keys that follow it belong to its retries.
-func (w *Workload) keyOf(number uint64) emulator.RequestKey {
+// requestKey returns the key of the first try with the given number. The Clients.Retries keys after it are reserved
+// for its retries.
+func (w *Workload) requestKey(number uint64) emulator.RequestKey {
 	return emulator.RequestKey(1 + number*uint64(w.scenario.Clients.Retries+1))
 }
 
-// drawGateway draws the gateway through which a customer sends: the busiest one of its set most likely, which changes
-// from time to time, then those that follow it.
+// drawGateway draws the gateway through which a customer sends. The busiest gateway of the customer's set is the most
+// likely one, and each gateway after it is less likely than the one before. Which gateway is the busiest changes over
+// time.
 func (w *Workload) drawGateway(
 	id policy.CustomerID, setFirst, setSize int, at time.Duration, random *rand.Rand,
 ) int {
@@ -186,49 +189,50 @@
 	return (setFirst + (busiest+rank)%setSize) % w.scenario.Gateways
 }
 
-// busiestPosition returns the position in a customer's set of the gateway that gets most of its requests at a given
-// time. It changes every ShiftEvery, at times that differ from customer to customer.
+// busiestPosition returns the position in a customer's gateway set of the gateway that gets most of its requests at
+// the given time. The position changes every Clients.ShiftEvery, at times that differ between customers.
 func (w *Workload) busiestPosition(id policy.CustomerID, setSize int, at time.Duration) int {
-	customerHash := mix(w.seed ^ mix(uint64(id)))
+	customerHash := splitMix64(w.seed ^ splitMix64(uint64(id)))
 	period := uint64(0)
 	if shift := w.scenario.Clients.ShiftEvery.Of(); shift > 0 {
 		phase := time.Duration(customerHash % uint64(shift))
 		period = uint64((at - w.start + phase) / shift)
 	}
-	return int(mix(customerHash+period) % uint64(setSize))
+	return int(splitMix64(customerHash+period) % uint64(setSize))
 }
 
 func (w *Workload) drawClass() int {
-	draw := w.random.Float64() * w.classes[len(w.classes)-1]
-	for class, upTo := range w.classes {
-		if draw < upTo {
+	draw := w.random.Float64() * w.classShares[len(w.classShares)-1]
+	for class, bound := range w.classShares {
+		if draw < bound {
 			return class
 		}
 	}
-	return len(w.classes) - 1
+	return len(w.classShares) - 1
 }
 
-// guessOf draws the units that a request carries where its true units are settled afterwards.
-func (w *Workload) guessOf(units float64) float64 {
+// estimateUnits draws the units that a request states. They differ from the true units only where the meter settles
+// units afterwards.
+func (w *Workload) estimateUnits(units float64) float64 {
 	if !w.scenario.Meter.Settled || w.scenario.Meter.GuessErr <= 0 {
 		return units
 	}
-	// A log-normal factor of mean 1 has this standard deviation of the logarithm.
+	// A log-normal factor with this standard deviation of its logarithm and mean 1 has the standard deviation GuessErr.
 	sigma := math.Sqrt(math.Log1p(w.scenario.Meter.GuessErr * w.scenario.Meter.GuessErr))
 	guess := units * math.Exp(sigma*w.random.NormFloat64()-sigma*sigma/2)
 	return min(max(guess, 1), float64(w.scenario.Clients.MaxUnits))
 }
 
-// drawPatience draws how long a client waits for one try.
+// drawPatience draws how long a client waits for the answer to one try.
 func (w *Workload) drawPatience(deadline time.Duration, random *rand.Rand) time.Duration {
-	least := w.scenario.Clients.Patience
-	return scaled(deadline, least+(1-least)*random.Float64())
+	minShare := w.scenario.Clients.Patience
+	return scaleDuration(deadline, minShare+(1-minShare)*random.Float64())
 }
 
-// drawWork draws the work of a request.
+// drawWork draws the work of a request on one core at speed 1.
 func drawWork(class *emulator.Class, units float64, random *rand.Rand) time.Duration {
 	factor := 1 + class.WorkSpread*(2*random.Float64()-1)
-	return scaled(class.Work.Of(), units*factor)
+	return scaleDuration(class.Work.Of(), units*factor)
 }
 
 func cumulativeShares(classes []emulator.Class) []float64 {
@@ -241,16 +245,17 @@
 	return sums
 }
 
-func scaled(d time.Duration, factor float64) time.Duration {
+func scaleDuration(d time.Duration, factor float64) time.Duration {
 	return time.Duration(float64(d) * factor)
 }
 
-// pendingArrival is the time after the start of a customer's next request.
+// pendingArrival holds when a customer sends its next request, counted from the start.
 type pendingArrival struct {
 	at       time.Duration
 	customer int
 }
 
+// arrivalQueue is a heap by time, then by customer.
 type arrivalQueue []pendingArrival
 
 func (q arrivalQueue) Len() int { return len(q) }
--- a/internal/emulator/model/workload_test.go
+++ b/internal/emulator/model/workload_test.go
@@ -9,9 +9,10 @@
 	"springfield/internal/emulator"
 )
 
-// testStart is a start of runs that is not 0.
+// testStart is the start of the runs. It is not 0, so that a time counted from the start cannot pass for a Unix time.
 const testStart = 1000 * time.Hour
 
+// firstTries returns all first tries of a workload.
 func firstTries(w *Workload) []Arrival {
 	var arrivals []Arrival
 	for {
@@ -34,21 +35,21 @@
 	keys := make(map[emulator.RequestKey]bool)
 	for _, a := range arrivals {
 		limit := scenario.Classes[a.Class].Deadline.Of()
-		least := scaled(limit, scenario.Clients.Patience)
+		minPatience := scaleDuration(limit, scenario.Clients.Patience)
 		position := (a.Gateway - a.SetFirst + scenario.Gateways) % scenario.Gateways
 		switch {
 		case a.At < last || a.At > end:
 			t.Fatalf("arrival at %v after one at %v", a.At, last)
 		case keys[a.Request] || a.Request != a.Original || a.Try != 0:
-			t.Fatalf("key of a first try: %+v", a)
+			t.Fatalf("first try has a wrong key: %+v", a)
 		case a.SetSize < 2 || a.SetSize > 10 || position >= a.SetSize:
-			t.Fatalf("gateway outside of the set: %+v", a)
+			t.Fatalf("set size or gateway out of bounds: %+v", a)
 		case a.TrueUnits < 1 || a.TrueUnits > 4 || a.Units < 1 || a.Units > 4 || a.Work <= 0:
-			t.Fatalf("units: %+v", a)
-		case a.LastDeadline != a.At+limit || a.Deadline < a.At+least || a.Deadline > a.LastDeadline:
-			t.Fatalf("deadlines: %+v", a)
+			t.Fatalf("units or work out of bounds: %+v", a)
+		case a.LastDeadline != a.At+limit || a.Deadline < a.At+minPatience || a.Deadline > a.LastDeadline:
+			t.Fatalf("deadlines out of bounds: %+v", a)
 		case a.AbandonAt != 0 && (a.AbandonAt <= a.At || a.AbandonAt >= a.Deadline):
-			t.Fatalf("abandoned outside of the try: %+v", a)
+			t.Fatalf("abandoned before the start or after the deadline of the try: %+v", a)
 		}
 		last = a.At
 		keys[a.Request] = true
@@ -60,10 +61,10 @@
 		}
 	}
 	if share := abandoned / float64(len(arrivals)); math.Abs(share-0.2) > 0.03 {
-		t.Errorf("%v of %d requests are abandoned, want 0.2", share, len(arrivals))
+		t.Errorf("share %v of %d requests is abandoned, want 0.2", share, len(arrivals))
 	}
 	if share := searches / float64(len(arrivals)); math.Abs(share-0.7) > 0.03 {
-		t.Errorf("%v of %d requests are of a class with the share 0.7", share, len(arrivals))
+		t.Errorf("share %v of %d requests is of class 0, want 0.7", share, len(arrivals))
 	}
 }
 
@@ -79,7 +80,7 @@
 		first, _ := disturbed.Retry(arrival, emulator.AnswerRejected, 0, arrival.At)
 		second, _ := disturbed.Retry(arrival, emulator.AnswerRejected, 0, arrival.At)
 		if first != second {
-			t.Fatalf("retries of the same try differ: %+v and %+v", first, second)
+			t.Fatalf("two retries of the same try differ: %+v and %+v", first, second)
 		}
 	}
 	if slices.Equal(plain, firstTries(NewWorkload(&scenario, 8, testStart))) {
@@ -87,9 +88,9 @@
 	}
 }
 
-func TestGuessesAreUnbiasedWhereUnitsAreSettled(t *testing.T) {
+func TestEstimatedUnitsAreUnbiasedWhereUnitsAreSettled(t *testing.T) {
 	scenario := DefaultScenario()
-	scenario.Clients.MaxUnits = 1000 // so that bounds hardly matter
+	scenario.Clients.MaxUnits = 1000 // so that the bounds hardly affect the estimates
 	scenario.Plans = []emulator.Plan{{Name: "large", Share: 1, Rate: 1000, Burst: 5000}}
 	scenario.Classes[0].Work = emulator.Duration(100 * time.Microsecond)
 	scenario.Classes[1].Work = emulator.Duration(100 * time.Microsecond)
@@ -104,20 +105,20 @@
 		}
 	}
 	if mean := sum / count; math.Abs(mean) > 0.01 {
-		t.Errorf("guesses are off by %v in the mean, over %v requests", mean, count)
+		t.Errorf("mean relative error of the estimates %v over %v requests, want 0", mean, count)
 	}
 	if deviation := math.Sqrt(square / count); math.Abs(deviation-0.3) > 0.02 {
-		t.Errorf("guesses deviate by %v, want 0.3", deviation)
+		t.Errorf("standard deviation of the estimates %v, want 0.3", deviation)
 	}
 	scenario.Meter.Settled = false
 	for _, a := range firstTries(NewWorkload(&scenario, 1, testStart)) {
 		if a.Units != a.TrueUnits {
-			t.Fatalf("a guess where nothing is settled: %+v", a)
+			t.Fatalf("estimate differs from the true units although units are not settled: %+v", a)
 		}
 	}
 }
 
-func TestABurstOfAllCustomersMultipliesTheLoad(t *testing.T) {
+func TestBurstMultipliesTheLoadOfAllCustomers(t *testing.T) {
 	scenario := DefaultScenario()
 	scenario.Clients.SpikyShare = 0
 	scenario.Length = emulator.Duration(90 * time.Second)
@@ -133,7 +134,7 @@
 	}
 }
 
-func TestRequestsAreSkewedOverTheSetAndShift(t *testing.T) {
+func TestRequestsAreSkewedOverTheGatewaySetAndShift(t *testing.T) {
 	scenario := DefaultScenario()
 	scenario.Gateways = 10
 	scenario.Clients.SetMin, scenario.Clients.ShiftEvery = 1, emulator.Duration(10*time.Second)
@@ -150,15 +151,15 @@
 			}
 		}
 		if share := busiest / float64(draws); share < c.least || share > c.most {
-			t.Errorf("skew %v: the busiest gateway has %v of the requests", c.skew, share)
+			t.Errorf("skew %v: the busiest gateway has a share of %v of the requests", c.skew, share)
 		}
 		if len(periods) < 5 {
-			t.Errorf("skew %v: %d gateways were the busiest in 20 periods", c.skew, len(periods))
+			t.Errorf("skew %v: only %d gateways were the busiest in 20 periods", c.skew, len(periods))
 		}
 	}
 }
 
-// BenchmarkArrivals draws the first tries of 5,000 gateways and about 100,000 customers.
+// BenchmarkArrivals draws first tries of about 100,000 customers at 5,000 gateways.
 func BenchmarkArrivals(b *testing.B) {
 	scenario := DefaultScenario()
 	scenario.Gateways, scenario.Endpoints.Count = 5000, 4500
@@ -168,7 +169,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, ok := w.Next(); !ok {
-			b.Fatal("the load is over")
+			b.Fatal("the workload has no more arrivals")
 		}
 	}
 	b.ReportMetric(float64(w.Offered().Customers), "customers")
--- a/internal/emulator/model/world.go
+++ b/internal/emulator/model/world.go
@@ -8,11 +8,11 @@
 	"springfield/policy"
 )
 
-// Stream numbers a stream of the random numbers of a run. Those of the workload are its own.
+// Stream identifies one of the random number streams of a run. The workload uses separate streams.
 type Stream uint64
 
-// The streams. Virtual runs and runs over sockets have the same ones, so that both draw the same endpoints and faults
-// from a seed.
+// The random number streams. Virtual runs and loopback runs use the same ones, so that both draw the same endpoints
+// and faults from a seed.
 const (
 	StreamServers Stream = iota + 1
 	StreamNetwork
@@ -23,10 +23,10 @@
 	StreamAttempts
 )
 
-// Random returns the random numbers of the stream in a run with the given seed.
+// Random returns a random number generator for the stream in a run with the given seed.
 func (s Stream) Random(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, uint64(s))) }
 
-// cellsPerZone is the number of cells that the endpoints of a zone are divided into.
+// cellsPerZone is the number of cells into which the endpoints of a zone are divided.
 const cellsPerZone = 4
 
 // CellOf returns the cell of the endpoint with the given number, from 0.
@@ -34,8 +34,8 @@
 	return number / Zones(scenario) % cellsPerZone
 }
 
-// NewScenarioServer returns the machine of an endpoint as the scenario describes it. startedAt 0 means that it has run
-// for long.
+// NewScenarioServer returns the model of an endpoint as the scenario describes it. A startedAt of 0 means that the
+// endpoint started long ago and is warm.
 func NewScenarioServer(scenario *emulator.Scenario, id policy.EndpointID, zone, cell int, startedAt time.Duration,
 	scheduler emulator.Scheduler, random *rand.Rand) *Server {
 	spread := scenario.Endpoints.SpeedSpread
