--- a/internal/emulator/model/network.go
+++ b/internal/emulator/model/network.go
@@ -7,21 +7,21 @@
 	"springfield/internal/emulator"
 )
 
-// Network is the way between two machines: each message takes a time of its own. Messages on one connection may
-// therefore overtake each other, which is the caller's to prevent.
+// Network models the path between two machines. The delay of each message is drawn independently, so that a message
+// may overtake an earlier one; callers have to keep the messages of a connection in order.
 //
-// Source: BRIEF and PROTOCOL, "The network": one data centre, TCP without losses of its own.
+// The model follows the operators' pages BRIEF and PROTOCOL ("The network"): one data centre, and TCP without losses.
 type Network struct {
 	spec   emulator.Network
 	random *rand.Rand
 }
 
-// NewNetwork returns a network.
+// NewNetwork returns a network that draws its delays from the given random numbers.
 func NewNetwork(spec emulator.Network, random *rand.Rand) *Network {
 	return &Network{spec: spec, random: random}
 }
 
-// Delay returns the time of one message, one way. Its mean is Network.Delay, of which the part Network.Jitter is
+// Delay draws the one-way delay of a message. Its mean is emulator.Network.Delay, of which the share Jitter is
 // exponentially distributed and the rest fixed.
 func (n *Network) Delay() time.Duration {
 	mean := float64(n.spec.Delay.Of())
--- a/internal/emulator/model/overload.go
+++ b/internal/emulator/model/overload.go
@@ -7,20 +7,21 @@
 	"springfield/internal/emulator"
 )
 
-// warmUpLoad watches what an endpoint gets while it warms up. It fails once it has got more than N + 2 sqrt(N) + 2
-// requests of mean work within WarmUp.OverloadWindow, where N is what the settings allow then: OverloadFactor times
-// the present capacity over the window. Requests that the endpoint rejects count too; handshakes do not. A slowdown of
-// the endpoint does not lower N.
+// overloadDetector detects when an endpoint that warms up receives too much work. The endpoint fails once it has
+// received more than N + 2 sqrt(N) + 2 requests of mean work within WarmUp.OverloadWindow, where N is the number that
+// the present capacity times WarmUp.OverloadFactor completes within the window. Requests that the endpoint rejects
+// count too; handshakes do not. A slowdown of the endpoint does not lower N.
 //
-// Source: STANDING (overload of a cold endpoint) and WIRE, rule 4. Work is in seconds of one core at speed 1.
-type warmUpLoad struct {
+// The rule follows the operators' pages STANDING (overload of a cold endpoint) and WIRE (rule 4). Work is in seconds
+// of one core at speed 1.
+type overloadDetector struct {
 	factor       float64
 	window       time.Duration
-	capacity     float64 // seconds of work a second, once warm
-	meanWork     float64 // seconds
+	capacity     float64 // seconds of work a second when warm
+	meanWork     float64 // seconds a request
 	arrivals     []warmUpArrival
-	work         float64 // of the arrivals
-	informedWork float64
+	work         float64 // of the arrivals within the window
+	informedWork float64 // part of work that came from informed gateways
 }
 
 type warmUpArrival struct {
@@ -29,8 +30,8 @@
 	informed bool
 }
 
-func newWarmUpLoad(warmUp emulator.WarmUp, capacity float64, meanWork time.Duration) warmUpLoad {
-	return warmUpLoad{
+func newOverloadDetector(warmUp emulator.WarmUp, capacity float64, meanWork time.Duration) overloadDetector {
+	return overloadDetector{
 		factor:   warmUp.OverloadFactor,
 		window:   warmUp.OverloadWindow.Of(),
 		capacity: capacity,
@@ -38,8 +39,9 @@
 	}
 }
 
-// add counts an arrival at the given warmth and reports whether it is one too many.
-func (l *warmUpLoad) add(arrival warmUpArrival, warmth float64) (overloaded bool) {
+// record adds an arrival while the endpoint has the given share of its capacity, and reports whether the endpoint is
+// overloaded.
+func (l *overloadDetector) record(arrival warmUpArrival, capacityShare float64) (overloaded bool) {
 	if l.factor <= 0 || l.window <= 0 || l.meanWork <= 0 {
 		return false
 	}
@@ -49,12 +51,12 @@
 	if arrival.informed {
 		l.informedWork += arrival.work
 	}
-	allowed := l.factor * l.capacity * warmth * l.window.Seconds() / l.meanWork
+	allowed := l.factor * l.capacity * capacityShare * l.window.Seconds() / l.meanWork
 	return l.work/l.meanWork > allowed+2*math.Sqrt(allowed)+2
 }
 
-// expire forgets the arrivals up to the given time.
-func (l *warmUpLoad) expire(until time.Duration) {
+// expire removes the arrivals up to the given time.
+func (l *overloadDetector) expire(until time.Duration) {
 	expired := 0
 	for expired < len(l.arrivals) && l.arrivals[expired].at <= until {
 		l.work -= l.arrivals[expired].work
@@ -69,16 +71,17 @@
 	}
 }
 
-// informedShare returns the part of the work within the window that came from gateways that were notified of the start.
-func (l *warmUpLoad) informedShare() float64 {
+// informedShare returns the share of the work within the window that came from gateways that counted as notified of
+// the endpoint's start.
+func (l *overloadDetector) informedShare() float64 {
 	if l.work <= 0 {
 		return 0
 	}
 	return min(1, max(0, l.informedWork/l.work))
 }
 
-// reset forgets all arrivals.
-func (l *warmUpLoad) reset() {
+// reset removes all arrivals.
+func (l *overloadDetector) reset() {
 	l.arrivals = nil
 	l.work, l.informedWork = 0, 0
 }
--- a/internal/emulator/model/server.go
+++ b/internal/emulator/model/server.go
@@ -8,59 +8,61 @@
 	"springfield/policy"
 )
 
-// unavailableBacklog is the backlog of an endpoint that begins no new request: longer than any deadline.
+// unavailableBacklog is the backlog reported for an endpoint that starts no new requests. It is longer than any
+// deadline.
 const unavailableBacklog = time.Hour
 
-// ServerSpec describes one endpoint.
+// ServerSpec configures the model of one endpoint.
 type ServerSpec struct {
 	ID        policy.EndpointID
 	Zone      int
 	Cell      int
 	Endpoints emulator.Endpoints
 	WarmUp    emulator.WarmUp
-	Speed     float64       // of its cores, relative to the work of the scenario; 0 counts as 1
-	MeanWork  time.Duration // of a request on a core at speed 1; the unit of the overload rule
-	StartedAt time.Duration // Unix time; 0: long ago, so that it is warm
+	Speed     float64       // seconds of work that a warm core does in a second; 0 counts as 1
+	MeanWork  time.Duration // mean work of a request on a core at speed 1; the unit of the overload rule
+	StartedAt time.Duration // Unix time; 0: long ago, so that the endpoint is warm
 }
 
-// Job is a request that has reached an endpoint complete.
+// Job is a request that an endpoint has received completely.
 type Job struct {
 	Work     time.Duration // on a core at speed 1
-	Gateway  int           // the one that sent it
-	Informed bool          // its gateway counts as notified of the start of the endpoint
+	Gateway  int           // number of the gateway that sent the request
+	Informed bool          // whether that gateway counts as notified of the endpoint's start
 	Done     func(JobResult)
 }
 
-// JobResult tells what an endpoint answers.
+// JobResult is the outcome that an endpoint answers a job with.
 type JobResult uint8
 
 // The results of a job.
 const (
 	JobServed   JobResult = iota + 1
-	JobError              // the endpoint has executed it and answers with an error
-	JobRejected           // the endpoint never executes it
+	JobError              // executed, and answered with an error
+	JobRejected           // not executed, and never will be
 )
 
-// Server is a model of one endpoint. Up to Endpoints.Cores requests are worked on at full speed, up to Endpoints.Slots
-// share the cores evenly (processor sharing), and more of them wait in order of arrival, up to Endpoints.WaitingRoom;
-// beyond these it rejects requests. A draining endpoint rejects all new requests and completes those that it holds. A
-// gateway that gives an attempt up stops nothing. Cores do Speed x Warmth / slowdown seconds of work a second.
+// Server is a model of one endpoint. Up to Endpoints.Cores requests are processed at full speed, and up to
+// Endpoints.Slots share the cores evenly (processor sharing). Up to Endpoints.WaitingRoom further requests wait in
+// order of arrival, and requests beyond that are rejected. A draining endpoint rejects all new requests and completes
+// those that it holds. An attempt that its gateway gives up is executed all the same. A core does Speed x
+// CapacityShare / slowdown seconds of work a second.
 //
-// Source: PROTOCOL ("Edge nodes to listing servers"), WIRE (rules 3 and 4) and STANDING (overload while warming up).
-// Times are Unix time, work is in seconds of one core at speed 1.
+// The model follows the operators' pages PROTOCOL ("Edge nodes to listing servers"), WIRE (rules 3 and 4) and STANDING
+// (overload during the warm-up). Times are Unix time, work is in seconds of one core at speed 1.
 //
-// A Server is used by functions of its scheduler alone, which run one at a time.
+// A Server is not safe for concurrent use: only functions of its scheduler, which run one at a time, may call it.
 type Server struct {
-	// OnOverload, if it is set, is called by the scheduler when the endpoint has failed because it got too much while
-	// it warmed up. The process has stopped then and stays down until Start. The share is the part of the work within
-	// the window of the rule that came from informed gateways.
+	// OnOverload, if set, is called by the scheduler after the endpoint has failed because it received too much work
+	// while it warmed up. The process has stopped by then and stays down until Start is called. informedShare is the
+	// share of the work within the overload window that came from informed gateways.
 	OnOverload func(informedShare float64)
 
 	spec        ServerSpec
 	scheduler   emulator.Scheduler
 	random      *rand.Rand
 	processor   processor
-	warmUp      warmUpLoad
+	overload    overloadDetector
 	connections connectionTable
 	traffic     trafficMeter
 
@@ -68,14 +70,14 @@
 	waiting     requestQueue
 	waitingWork float64 // seconds
 
-	up         bool
-	process    uint64 // number of the process that runs, or ran last
-	draining   bool
-	silent     bool
-	errorShare float64
+	up            bool
+	processNumber uint64 // incremented at each stop, which cancels the functions that the stopped process has scheduled
+	draining      bool
+	silent        bool
+	errorShare    float64
 
-	wakeUpAt      time.Duration // when the next task may be finished; 0: no wake-up is scheduled
-	wakeUpCurrent uint64        // number of the only wake-up that counts
+	wakeUpAt     time.Duration // when the next task may be complete; 0: no wake-up is scheduled
+	wakeUpNumber uint64        // number of the latest wake-up; earlier ones have no effect
 }
 
 // request is a job that an endpoint holds.
@@ -84,7 +86,7 @@
 	receivedAt time.Duration
 }
 
-// NewServer returns an endpoint that is up. The random numbers decide which requests get errors.
+// NewServer returns an endpoint that is up. The random numbers determine which requests fail with errors.
 func NewServer(spec ServerSpec, scheduler emulator.Scheduler, random *rand.Rand) *Server {
 	if spec.Speed <= 0 {
 		spec.Speed = 1
@@ -100,25 +102,25 @@
 			cores:    spec.Endpoints.Cores,
 			speed:    spec.Speed,
 			slowdown: 1,
-			start:    newSlowStart(spec.WarmUp, spec.StartedAt),
+			warmUp:   newSlowStart(spec.WarmUp, spec.StartedAt),
 			updated:  scheduler.Now(),
 		},
-		warmUp:      newWarmUpLoad(spec.WarmUp, capacity, spec.MeanWork),
+		overload:    newOverloadDetector(spec.WarmUp, capacity, spec.MeanWork),
 		connections: connectionTable{limit: spec.Endpoints.MaxConnections},
 		up:          true,
 	}
 }
 
-// Submit takes a request whose last byte has arrived. The scheduler calls Done later, never before Submit has returned.
-// Done is never called if the process has stopped, or stops before the request is finished: its connection is reset
-// then, which is the caller's to tell. Nor is it called for what would be answered while the endpoint is silent.
+// Submit takes a request whose last byte has arrived. The scheduler calls Done later, never before Submit has
+// returned. Done is never called if the process is down or stops before the request is complete; the caller then has
+// to reset the connection. Nor is Done called for a request that would be answered while the endpoint is silent.
 func (s *Server) Submit(job Job) {
 	if !s.up {
 		return
 	}
 	now := s.scheduler.Now()
 	if s.overloadedBy(job, now) {
-		s.fail()
+		s.failOverloaded()
 		return
 	}
 	received := &request{job: job, receivedAt: now}
@@ -127,7 +129,7 @@
 	case s.draining:
 		s.reject(received)
 	case s.inService < s.spec.Endpoints.Slots:
-		s.begin(received)
+		s.startRequest(received)
 		s.scheduleWakeUp()
 	case s.waiting.len() < s.spec.Endpoints.WaitingRoom:
 		s.waiting.push(received)
@@ -137,19 +139,19 @@
 	}
 }
 
-// overloadedBy counts a request that has come while the endpoint warms up.
+// overloadedBy records a request that arrives during the warm-up and reports whether it overloads the endpoint.
 func (s *Server) overloadedBy(job Job, now time.Duration) bool {
-	if s.processor.start.isWarm(now) {
-		s.warmUp.reset()
+	if s.processor.warmUp.isWarm(now) {
+		s.overload.reset()
 		return false
 	}
 	arrival := warmUpArrival{at: now, work: job.Work.Seconds(), informed: job.Informed}
-	return s.warmUp.add(arrival, s.Warmth())
+	return s.overload.record(arrival, s.CapacityShare())
 }
 
-// fail stops the process because of an overload.
-func (s *Server) fail() {
-	share := s.warmUp.informedShare()
+// failOverloaded stops the process because of an overload and has OnOverload called.
+func (s *Server) failOverloaded() {
+	share := s.overload.informedShare()
 	s.Stop()
 	s.scheduler.After(0, func() {
 		if s.OnOverload != nil {
@@ -158,23 +160,24 @@
 	})
 }
 
+// reject answers a request with JobRejected, unless the process stops before.
 func (s *Server) reject(received *request) {
-	process := s.process
+	processNumber := s.processNumber
 	s.scheduler.After(0, func() {
-		if process == s.process {
-			s.answer(received, JobRejected)
+		if processNumber == s.processNumber {
+			s.respond(received, JobRejected)
 		}
 	})
 }
 
-// begin puts a request on a slot. The processor has been advanced to the present time.
-func (s *Server) begin(received *request) {
+// startRequest assigns a request to a slot. The processor must have been advanced to the present time.
+func (s *Server) startRequest(received *request) {
 	s.inService++
 	s.processor.add(received.job.Work.Seconds(), received)
 }
 
-// Connect opens a connection and reports whether there was a place for it. The handshake takes Endpoints.HandshakeWork
-// of the cores. An endpoint that is down accepts none.
+// Connect opens a connection and reports whether the endpoint has accepted it. An endpoint that is down or holds
+// Endpoints.MaxConnections connections refuses it. The handshake takes Endpoints.HandshakeWork of the cores' time.
 func (s *Server) Connect() bool {
 	if !s.up || !s.connections.add() {
 		return false
@@ -187,12 +190,14 @@
 	return true
 }
 
-// Disconnect closes a connection. Connections to a process that has stopped are gone already; they are not closed.
+// Disconnect closes a connection. It must not be called for connections to a process that has stopped, since Stop has
+// closed them.
 func (s *Server) Disconnect() { s.connections.remove() }
 
-// scheduleWakeUp has the scheduler call finish when the next task is finished. An earlier wake-up is left as it is.
+// scheduleWakeUp has the scheduler call completeTasks when the next task is complete. A wake-up that is scheduled for
+// an earlier time stays in place.
 func (s *Server) scheduleWakeUp() {
-	delay, ok := s.processor.untilNextEnd()
+	delay, ok := s.processor.timeToNextCompletion()
 	if !ok {
 		return
 	}
@@ -201,48 +206,50 @@
 		return
 	}
 	s.wakeUpAt = at
-	s.wakeUpCurrent++
-	number := s.wakeUpCurrent
+	s.wakeUpNumber++
+	number := s.wakeUpNumber
 	s.scheduler.After(delay, func() {
-		if number == s.wakeUpCurrent {
+		if number == s.wakeUpNumber {
 			s.wakeUpAt = 0
-			s.finish()
+			s.completeTasks()
 		}
 	})
 }
 
-// finish ends the tasks that are finished and begins requests that wait.
-func (s *Server) finish() {
+// completeTasks answers the requests whose work is complete and starts waiting requests in their place.
+func (s *Server) completeTasks() {
 	s.processor.advance(s.scheduler.Now())
-	for done := s.processor.finished(); done != nil; done = s.processor.finished() {
+	for done := s.processor.popFinished(); done != nil; done = s.processor.popFinished() {
 		if done.request == nil {
-			continue // a handshake
+			continue // a handshake has no answer
 		}
 		s.inService--
-		s.beginNextWaiting()
-		s.answer(done.request, s.resultOfExecution())
+		s.startNextWaiting()
+		s.respond(done.request, s.drawResult())
 	}
 	s.scheduleWakeUp()
 }
 
-func (s *Server) beginNextWaiting() {
+// startNextWaiting starts the request that has waited longest, if there is one.
+func (s *Server) startNextWaiting() {
 	if s.waiting.len() == 0 {
 		return
 	}
 	next := s.waiting.pop()
 	s.waitingWork = max(0, s.waitingWork-next.job.Work.Seconds())
-	s.begin(next)
+	s.startRequest(next)
 }
 
-func (s *Server) resultOfExecution() JobResult {
+// drawResult draws whether an executed request is served or fails with an error.
+func (s *Server) drawResult() JobResult {
 	if s.errorShare > 0 && s.random.Float64() < s.errorShare {
 		return JobError
 	}
 	return JobServed
 }
 
-// answer sends a response, unless the endpoint is silent.
-func (s *Server) answer(answered *request, result JobResult) {
+// respond sends a response, unless the endpoint is silent.
+func (s *Server) respond(answered *request, result JobResult) {
 	now := s.scheduler.Now()
 	if result != JobRejected {
 		s.traffic.record(now, now-answered.receivedAt, result == JobError)
--- a/internal/emulator/model/server_state.go
+++ b/internal/emulator/model/server_state.go
@@ -6,7 +6,8 @@
 	"springfield/policy"
 )
 
-// SetSlowdown makes the cores slower by a factor, from now on; 1 ends that. A factor of 0 or less counts as 1.
+// SetSlowdown divides the speed of the cores by a factor from now on. A factor of 1 restores the usual speed, and a
+// factor of 0 or less counts as 1.
 func (s *Server) SetSlowdown(factor float64) {
 	if factor <= 0 {
 		factor = 1
@@ -16,17 +17,17 @@
 	s.scheduleWakeUp()
 }
 
-// SetErrorShare makes a share of the requests fail with errors, after their work.
+// SetErrorShare makes a share of the requests fail with errors after their execution.
 func (s *Server) SetErrorShare(share float64) { s.errorShare = share }
 
-// SetSilent makes the endpoint send nothing: it takes requests and works on them, but what would be answered until it
-// is set back is never answered.
+// SetSilent makes the endpoint accept and execute requests without sending any response. Requests that complete while
+// it is silent are never answered.
 func (s *Server) SetSilent(silent bool) { s.silent = silent }
 
-// Drain has the endpoint reject new requests. Those that it holds are completed.
+// Drain makes the endpoint reject new requests. It completes the requests that it holds.
 func (s *Server) Drain() { s.draining = true }
 
-// Stop ends the process. What it held is lost, with its connections.
+// Stop ends the process. Its requests and connections are lost.
 func (s *Server) Stop() {
 	s.processor.advance(s.scheduler.Now())
 	s.processor.clear()
@@ -34,19 +35,19 @@
 	s.waitingWork = 0
 	s.inService = 0
 	s.connections.clear()
-	s.warmUp.reset()
+	s.overload.reset()
 	s.traffic = trafficMeter{}
 	s.up = false
-	s.process++
+	s.processNumber++
 	s.wakeUpAt = 0
-	s.wakeUpCurrent++
+	s.wakeUpNumber++
 }
 
-// Start starts the process anew, cold, in place of the one that ran. Its start is the given Unix time. A slowdown,
-// errors and silence are faults of the machine and go on.
+// Start replaces the process by a new, cold one that starts at the given Unix time. A slowdown, an error share and
+// silence are faults of the machine and stay in force.
 func (s *Server) Start(now time.Duration) {
 	s.Stop()
-	s.processor.start.startedAt = now
+	s.processor.warmUp.startedAt = now
 	s.up = true
 	s.draining = false
 }
@@ -54,7 +55,7 @@
 // ID returns the endpoint's id.
 func (s *Server) ID() policy.EndpointID { return s.spec.ID }
 
-// Up reports whether the process runs.
+// Up reports whether the process is running.
 func (s *Server) Up() bool { return s.up }
 
 // State returns the state that the endpoint list should show.
@@ -70,9 +71,10 @@
 }
 
 // StartedAt returns the Unix time at which the process last started; 0: long ago.
-func (s *Server) StartedAt() time.Duration { return s.processor.start.startedAt }
+func (s *Server) StartedAt() time.Duration { return s.processor.warmUp.startedAt }
 
-// Endpoint returns the entry that the endpoint list should show. All weights are 1: the list does not know the speed.
+// Endpoint returns the entry that the endpoint list should show. Its weight is always 1, since discovery does not know
+// the speeds of the endpoints.
 func (s *Server) Endpoint() policy.Endpoint {
 	return policy.Endpoint{
 		ID:        s.spec.ID,
@@ -84,12 +86,16 @@
 	}
 }
 
-// Warmth returns the share of its capacity that the endpoint has, from 0 to 1.
-func (s *Server) Warmth() float64 { return s.processor.start.warmth(s.scheduler.Now()) }
+// CapacityShare returns the share of its full capacity that the endpoint has now, from 0 to 1. It is below 1 during
+// the warm-up.
+func (s *Server) CapacityShare() float64 {
+	return s.processor.warmUp.capacityShare(s.scheduler.Now())
+}
 
-// Backlog returns the expected time until a core is free for a new request: with k cores and n requests held, n - k + 1
-// of these have to be finished first, each of which takes the mean of the work that is left of them on k cores. It is
-// exact for exponentially distributed work. It is unavailableBacklog if the endpoint is down, draining or silent.
+// Backlog returns the expected time until a core is free for a new request, or unavailableBacklog if the endpoint is
+// down, draining or silent. With k cores and n requests held, n - k + 1 of these have to be completed first. Each of
+// them is taken to occupy the k cores together for the mean remaining work of a request divided by k, which is exact
+// for exponentially distributed work.
 func (s *Server) Backlog() time.Duration {
 	if !s.up || s.draining || s.silent {
 		return unavailableBacklog
@@ -100,13 +106,13 @@
 	if held < cores {
 		return 0
 	}
-	meanWork := (s.processor.remaining() + s.waitingWork) / float64(held)
+	meanWork := (s.processor.remainingWork() + s.waitingWork) / float64(held)
 	work := meanWork * float64(held-cores+1) / float64(cores)
-	return s.processor.timeFor(work * s.processor.slowdown / s.processor.speed)
+	return s.processor.timeForWork(work * s.processor.slowdown / s.processor.speed)
 }
 
-// Load returns the load report that an answer carries now, which is neither late nor noisy. It is absent unless
-// Endpoints.LoadReports is set.
+// Load returns the load report that a response would carry now. The report is exact and up to date; it is absent
+// unless Endpoints.LoadReports is set.
 func (s *Server) Load() policy.LoadReport {
 	if !s.spec.Endpoints.LoadReports {
 		return policy.LoadReport{}
@@ -125,26 +131,26 @@
 	}
 }
 
-// requestQueue is a queue of the requests that wait.
+// requestQueue is a first-in, first-out queue of waiting requests.
 type requestQueue struct {
 	requests []*request
-	first    int
+	head     int
 }
 
-func (q *requestQueue) len() int { return len(q.requests) - q.first }
+func (q *requestQueue) len() int { return len(q.requests) - q.head }
 
 func (q *requestQueue) push(added *request) {
-	if q.first > 0 && q.first >= len(q.requests)/2 && len(q.requests) == cap(q.requests) {
-		remaining := copy(q.requests, q.requests[q.first:])
+	if q.head > 0 && q.head >= len(q.requests)/2 && len(q.requests) == cap(q.requests) {
+		remaining := copy(q.requests, q.requests[q.head:])
 		clear(q.requests[remaining:])
-		q.requests, q.first = q.requests[:remaining], 0
+		q.requests, q.head = q.requests[:remaining], 0
 	}
 	q.requests = append(q.requests, added)
 }
 
 func (q *requestQueue) pop() *request {
-	next := q.requests[q.first]
-	q.requests[q.first] = nil // frees the request
-	q.first++
+	next := q.requests[q.head]
+	q.requests[q.head] = nil // lets the garbage collector free the request
+	q.head++
 	return next
 }
--- a/internal/emulator/model/server_test.go
+++ b/internal/emulator/model/server_test.go
@@ -15,11 +15,11 @@
 
 const serverTestStart = 1_700_000_000 * time.Second
 
-// serverTest records when and how the jobs of a server end.
+// serverTest is a server that records when and with which result its jobs end.
 type serverTest struct {
 	*Server
 	scheduler *emulator.VirtualScheduler
-	ends      map[int]serverTestEnd // by number of the job
+	ends      map[int]serverTestEnd // by job number
 }
 
 type serverTestEnd struct {
@@ -33,14 +33,14 @@
 	return &serverTest{Server: server, scheduler: scheduler, ends: map[int]serverTestEnd{}}
 }
 
-// submitAt has the scheduler submit a job, and fails the test if the job ends within Submit.
+// submitAt schedules the submission of a job. The test fails if Done is called before Submit has returned.
 func (s *serverTest) submitAt(t rapid.TB, after time.Duration, number int, work time.Duration) {
 	t.Helper()
 	s.scheduler.After(after, func() {
 		submitting := true
 		s.Submit(Job{Work: work, Done: func(result JobResult) {
 			if submitting {
-				t.Errorf("job %d ended within Submit", number)
+				t.Errorf("job %d: Done was called before Submit returned", number)
 			}
 			s.ends[number] = serverTestEnd{s.scheduler.Now() - serverTestStart, result}
 		}})
@@ -50,11 +50,12 @@
 
 func (s *serverTest) run() { s.scheduler.RunUntil(serverTestStart + time.Hour) }
 
+// expectEnd checks the result of a job and, to a microsecond, the time of its end since serverTestStart.
 func (s *serverTest) expectEnd(t *testing.T, number int, after time.Duration, result JobResult) {
 	t.Helper()
 	got, ok := s.ends[number]
 	if off := got.after - after; !ok || got.result != result || off < -time.Microsecond || off > time.Microsecond {
-		t.Errorf("job %d ended with %+v (%v), want %v after %v", number, got, ok, result, after)
+		t.Errorf("job %d ended with %+v (ended: %v), want %v after %v", number, got, ok, result, after)
 	}
 }
 
@@ -64,16 +65,16 @@
 		s.submitAt(t, 0, number, 300*time.Millisecond)
 	}
 	s.run()
-	for number := range 3 { // three share two cores of speed 2
+	for number := range 3 { // three jobs share two cores of speed 2
 		s.expectEnd(t, number, 225*time.Millisecond, JobServed)
 	}
-	for number := 3; number < 5; number++ { // then two have a core each
+	for number := 3; number < 5; number++ { // the two jobs that waited then have a core each
 		s.expectEnd(t, number, 375*time.Millisecond, JobServed)
 	}
 	s.expectEnd(t, 5, 0, JobRejected)
 }
 
-func TestServerBeginsWaitingRequestsInOrder(t *testing.T) {
+func TestServerStartsWaitingRequestsInOrder(t *testing.T) {
 	s := newServerTest(ServerSpec{Endpoints: emulator.Endpoints{Cores: 1, Slots: 1, WaitingRoom: 9}})
 	for number := range 4 {
 		s.submitAt(t, time.Duration(number)*time.Millisecond, number, time.Duration(10-number)*time.Millisecond)
@@ -84,8 +85,9 @@
 	}
 }
 
-// TestServerMatchesStepwiseSharing compares the server with a direct simulation that goes from one event to the next.
-func TestServerMatchesStepwiseSharing(t *testing.T) {
+// TestServerMatchesReferenceProcessorSharing compares the server's incremental processor sharing with a direct
+// simulation that advances all jobs from one event to the next.
+func TestServerMatchesReferenceProcessorSharing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cores := rapid.IntRange(1, 4).Draw(t, "cores")
 		works := rapid.SliceOfN(rapid.IntRange(0, 500), 1, 30).Draw(t, "work in ms")
@@ -99,7 +101,7 @@
 			s.submitAt(t, time.Duration(at)*time.Millisecond, number, time.Duration(work)*time.Millisecond)
 		}
 		s.run()
-		for number, want := range stepwiseSharing(float64(cores), arrivals, works) {
+		for number, want := range referenceSharing(float64(cores), arrivals, works) {
 			got := float64(s.ends[number].after) / float64(time.Millisecond)
 			if s.ends[number].result != JobServed || math.Abs(got-want) > 1e-3 {
 				t.Errorf("job %d ended at %v ms, want %v ms", number, got, want)
@@ -108,37 +110,37 @@
 	})
 }
 
-// stepwiseSharing returns the ends of jobs, in milliseconds.
-func stepwiseSharing(cores float64, arrivals []float64, works []int) []float64 {
-	ends := make([]float64, len(works))
-	left := map[int]float64{}
+// referenceSharing simulates processor sharing step by step and returns when the jobs end, in milliseconds.
+func referenceSharing(cores float64, arrivals []float64, works []int) []float64 {
+	endTimes := make([]float64, len(works))
+	remaining := map[int]float64{}
 	now, arrived := 0.0, 0
-	for arrived < len(works) || len(left) > 0 {
-		speed := min(1, cores/float64(max(1, len(left))))
+	for arrived < len(works) || len(remaining) > 0 {
+		speed := min(1, cores/float64(max(1, len(remaining))))
 		next := math.Inf(1)
 		if arrived < len(works) {
 			next = arrivals[arrived]
 		}
-		for _, work := range left {
+		for _, work := range remaining {
 			next = min(next, now+work/speed)
 		}
-		for number := range left {
-			left[number] -= (next - now) * speed
-			if left[number] <= 1e-7 {
-				ends[number] = next
-				delete(left, number)
+		for number := range remaining {
+			remaining[number] -= (next - now) * speed
+			if remaining[number] <= 1e-7 {
+				endTimes[number] = next
+				delete(remaining, number)
 			}
 		}
 		now = next
 		for arrived < len(works) && arrivals[arrived] <= now {
-			left[arrived] = float64(works[arrived])
+			remaining[arrived] = float64(works[arrived])
 			arrived++
 		}
 	}
-	return ends
+	return endTimes
 }
 
-func TestServerKeepsTheOrderOfALongQueue(t *testing.T) {
+func TestRequestQueueIsFirstInFirstOut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var queue requestQueue
 		added, taken := 0, 0
@@ -149,12 +151,12 @@
 				added++
 			case queue.len() > 0:
 				if got := queue.pop().job.Gateway; got != taken {
-					t.Fatalf("took %d, want %d", got, taken)
+					t.Fatalf("popped request %d, want %d", got, taken)
 				}
 				taken++
 			}
 			if queue.len() != added-taken {
-				t.Fatalf("length %d, want %d", queue.len(), added-taken)
+				t.Fatalf("queue length %d, want %d", queue.len(), added-taken)
 			}
 		}
 	})
@@ -165,9 +167,9 @@
 		WarmUp:    emulator.WarmUp{InitialCapacity: 0.2, Duration: emulator.Duration(10 * time.Second)},
 		StartedAt: serverTestStart,
 	})
-	s.submitAt(t, 0, 0, 6*time.Second)               // (0.2 + 1) / 2 x 10 s
-	s.submitAt(t, 11*time.Second, 1, 2*time.Second)  // warm
-	s.submitAt(t, 20*time.Second, 2, 10*time.Second) // 5 s of its work, then the rest four times slower
+	s.submitAt(t, 0, 0, 6*time.Second)               // 10 s at a mean capacity share of (0.2 + 1) / 2
+	s.submitAt(t, 11*time.Second, 1, 2*time.Second)  // the endpoint is warm
+	s.submitAt(t, 20*time.Second, 2, 10*time.Second) // 5 s of its work at full speed, the rest four times slower
 	s.scheduler.After(25*time.Second, func() { s.SetSlowdown(4) })
 	s.run()
 	s.expectEnd(t, 0, 10*time.Second, JobServed)
@@ -186,33 +188,33 @@
 	s.scheduler.RunUntil(serverTestStart + 2*time.Second)
 	s.expectEnd(t, 0, time.Second, JobServed)
 	s.expectEnd(t, 1, 500*time.Millisecond, JobRejected)
-	if s.State() != policy.StateDraining || s.Warmth() != 1 || s.Backlog() != unavailableBacklog {
-		t.Errorf("state %v, warmth %v, backlog %v of a draining endpoint", s.State(), s.Warmth(), s.Backlog())
+	if s.State() != policy.StateDraining || s.CapacityShare() != 1 || s.Backlog() != unavailableBacklog {
+		t.Errorf("draining endpoint: state %v, capacity share %v, backlog %v", s.State(), s.CapacityShare(), s.Backlog())
 	}
 
 	s.Start(s.scheduler.Now())
 	s.submitAt(t, 0, 2, time.Minute)
-	s.submitAt(t, time.Second, 4, time.Second) // rejected, but the process stops before it says so
+	s.submitAt(t, time.Second, 4, time.Second) // rejected, but the process stops before it responds
 	s.scheduler.After(time.Second, s.Stop)
 	s.submitAt(t, 2*time.Second, 3, time.Second)
 	s.run()
 	if s.Up() || s.State() != policy.StateRemoved || s.Connect() {
-		t.Error("a stopped endpoint is up")
+		t.Error("a stopped endpoint is up or accepts connections")
 	}
 	if _, ended := s.ends[2]; ended || len(s.ends) != 2 {
-		t.Errorf("jobs of a stopped endpoint ended: %v", s.ends)
+		t.Errorf("a stopped endpoint answered jobs: %v", s.ends)
 	}
 
 	s.Start(s.scheduler.Now())
 	want := policy.Endpoint{
 		ID: 7, Weight: 1, State: policy.StateReady, Zone: 2, Cell: 3, StartedAt: s.scheduler.Now(),
 	}
-	if s.Endpoint() != want || s.Warmth() != 0.5 || s.Backlog() != 0 {
-		t.Errorf("endpoint %+v, warmth %v, backlog %v after a restart", s.Endpoint(), s.Warmth(), s.Backlog())
+	if s.Endpoint() != want || s.CapacityShare() != 0.5 || s.Backlog() != 0 {
+		t.Errorf("after a restart: endpoint %+v, capacity share %v, backlog %v", s.Endpoint(), s.CapacityShare(), s.Backlog())
 	}
 }
 
-func TestServerSilenceAndErrors(t *testing.T) {
+func TestServerReturnsErrorsAndStaysSilent(t *testing.T) {
 	s := newServerTest(ServerSpec{Endpoints: emulator.Endpoints{LoadReports: true}})
 	s.SetErrorShare(1)
 	s.submitAt(t, 0, 0, time.Second)
@@ -231,12 +233,12 @@
 	s.submitAt(t, 0, 2, time.Second)
 	s.run()
 	if _, ended := s.ends[1]; ended {
-		t.Error("a silent endpoint has answered")
+		t.Error("a silent endpoint has answered a job")
 	}
 	s.expectEnd(t, 2, 4*time.Second, JobServed)
 }
 
-func TestServerConnections(t *testing.T) {
+func TestServerLimitsConnectionsAndChargesHandshakes(t *testing.T) {
 	s := newServerTest(ServerSpec{Endpoints: emulator.Endpoints{
 		MaxConnections: 2, HandshakeWork: emulator.Duration(100 * time.Millisecond),
 	}})
@@ -246,17 +248,17 @@
 	if want := []bool{true, true, false, true, false}; !slices.Equal(opened, want) {
 		t.Errorf("opened %v, want %v", opened, want)
 	}
-	s.submitAt(t, 0, 0, 100*time.Millisecond) // beside three handshakes
+	s.submitAt(t, 0, 0, 100*time.Millisecond) // shares the core with three handshakes
 	s.run()
 	s.expectEnd(t, 0, 400*time.Millisecond, JobServed)
 	s.Start(s.scheduler.Now())
 	opened = []bool{s.Connect(), s.Connect(), s.Connect()}
 	if want := []bool{true, true, false}; !slices.Equal(opened, want) {
-		t.Errorf("opened %v at a new process, want %v", opened, want)
+		t.Errorf("opened %v after a restart, want %v", opened, want)
 	}
 }
 
-func TestServerBacklog(t *testing.T) {
+func TestServerBacklogCountsRunningAndWaitingWork(t *testing.T) {
 	s := newServerTest(ServerSpec{Endpoints: emulator.Endpoints{Cores: 2, Slots: 2, WaitingRoom: 9}})
 	var backlogs []time.Duration
 	for range 4 {
@@ -266,7 +268,7 @@
 	if want := []time.Duration{0, 0, 500 * time.Millisecond, time.Second}; !slices.Equal(backlogs, want) {
 		t.Errorf("backlogs %v, want %v", backlogs, want)
 	}
-	s.scheduler.RunUntil(serverTestStart + 1500*time.Millisecond) // two are finished, two half finished
+	s.scheduler.RunUntil(serverTestStart + 1500*time.Millisecond) // two jobs are complete and two half complete
 	if got := s.Backlog(); got != 250*time.Millisecond {
 		t.Errorf("backlog %v, want 250 ms", got)
 	}
@@ -275,7 +277,7 @@
 	}
 }
 
-func TestServerFailsOfOverloadWhileWarmingUp(t *testing.T) {
+func TestServerFailsWhenOverloadedDuringWarmUp(t *testing.T) {
 	spec := ServerSpec{
 		Endpoints: emulator.Endpoints{Cores: 2, Slots: 2},
 		WarmUp: emulator.WarmUp{
@@ -285,7 +287,8 @@
 		MeanWork:  time.Second,
 		StartedAt: serverTestStart,
 	}
-	// N is 2 x 2 cores x 0.5 x 4 s / 1 s = 8 at the start, and 8 + 2 sqrt(8) + 2 = 15.66.
+	// At the start N = 2 x 2 cores x 0.5 x 4 s / 1 s = 8, so that the endpoint fails beyond N + 2 sqrt(N) + 2 = 15.66
+	// requests.
 	submit := func(s *serverTest, count int) {
 		for number := range count {
 			s.Submit(Job{Work: time.Second, Informed: number%4 != 0})
@@ -293,13 +296,13 @@
 	}
 	t.Run("at the bound", func(t *testing.T) {
 		s := newServerTest(spec)
-		s.OnOverload = func(float64) { t.Error("overloaded") }
+		s.OnOverload = func(float64) { t.Error("OnOverload was called") }
 		submit(s, 15)
 		s.scheduler.RunUntil(serverTestStart + 4*time.Second)
-		submit(s, 15) // the window of the first ones is over
+		submit(s, 15) // the first requests have left the window
 		s.scheduler.RunUntil(serverTestStart + 5*time.Second)
 		if !s.Up() {
-			t.Error("has failed")
+			t.Error("endpoint has failed")
 		}
 	})
 	t.Run("over the bound", func(t *testing.T) {
@@ -308,16 +311,16 @@
 		s.OnOverload = func(share float64) { shares = append(shares, share) }
 		submit(s, 16)
 		if s.Up() || len(shares) != 0 {
-			t.Errorf("up %v, told %v within Submit", s.Up(), shares)
+			t.Errorf("up %v, informed shares %v before the scheduler has run", s.Up(), shares)
 		}
 		s.run()
 		if !slices.Equal(shares, []float64{0.75}) {
-			t.Errorf("informed shares %v, want 0.75", shares)
+			t.Errorf("informed shares %v, want one of 0.75", shares)
 		}
 	})
 	t.Run("warm", func(t *testing.T) {
 		s := newServerTest(spec)
-		s.OnOverload = func(float64) { t.Error("overloaded") }
+		s.OnOverload = func(float64) { t.Error("OnOverload was called") }
 		s.scheduler.RunUntil(serverTestStart + 100*time.Second)
 		submit(s, 100)
 		s.run()
@@ -333,9 +336,9 @@
 		}
 		from := serverTestStart + time.Duration(rapid.IntRange(0, 90_000).Draw(t, "from in ms"))*time.Millisecond
 		lasting := time.Duration(rapid.IntRange(1, 90_000).Draw(t, "lasting in ms")) * time.Millisecond
-		back := start.timeFor(from, start.workBetween(from, from+lasting))
+		back := start.timeForWork(from, start.workBetween(from, from+lasting))
 		if math.Abs(back-lasting.Seconds()) > 1e-6 {
-			t.Errorf("%v s for the work of %v", back, lasting)
+			t.Errorf("timeForWork returned %v s for the work of %v", back, lasting)
 		}
 	})
 }
--- a/internal/emulator/model/slow_start.go
+++ b/internal/emulator/model/slow_start.go
@@ -7,11 +7,12 @@
 	"springfield/internal/emulator"
 )
 
-// slowStart is the capacity of an endpoint that warms up, as a share of its full one. It grows evenly from
-// WarmUp.InitialCapacity to 1 within WarmUp.Duration from the start of the process, whatever the endpoint works on.
+// slowStart models the capacity of an endpoint that warms up, as a share of its full capacity. The share grows
+// linearly from WarmUp.InitialCapacity to 1 within WarmUp.Duration after the start of the process, whatever the load
+// is.
 //
-// Source: PROTOCOL and WIRE ("cold" endpoints, settings Safety.ColdFrom and Safety.WarmWithinMs). An even growth is the
-// slowest one that these pages allow.
+// The model follows the operators' pages PROTOCOL and WIRE ("cold" endpoints, settings Safety.ColdFrom and
+// Safety.WarmWithinMs). Linear growth is the slowest growth that these pages allow.
 type slowStart struct {
 	initial   float64
 	duration  time.Duration
@@ -22,38 +23,38 @@
 	return slowStart{initial: warmUp.InitialCapacity, duration: warmUp.Duration.Of(), startedAt: startedAt}
 }
 
-// isWarm reports whether all of the capacity is there.
+// isWarm reports whether the endpoint has its full capacity.
 func (s slowStart) isWarm(now time.Duration) bool {
 	return s.startedAt == 0 || s.duration <= 0 || now >= s.startedAt+s.duration
 }
 
-// warmth returns the share of the capacity that is there, from 0 to 1.
-func (s slowStart) warmth(now time.Duration) float64 {
+// capacityShare returns the available share of the full capacity, from 0 to 1.
+func (s slowStart) capacityShare(now time.Duration) float64 {
 	if s.isWarm(now) {
 		return 1
 	}
-	return s.growth(now)
+	return s.linearShare(now)
 }
 
-// growth is the warmth on the growing part of the curve, its end included.
-func (s slowStart) growth(now time.Duration) float64 {
+// linearShare returns the capacity share during the warm-up. It is valid up to and including the end of the warm-up.
+func (s slowStart) linearShare(now time.Duration) float64 {
 	elapsed := max(0, now-s.startedAt)
 	return s.initial + (1-s.initial)*float64(elapsed)/float64(s.duration)
 }
 
-// workBetween returns the integral of the warmth over the time from one moment to a later one, in seconds.
+// workBetween returns the integral of the capacity share from one time to a later one, in seconds.
 func (s slowStart) workBetween(from, to time.Duration) float64 {
 	if s.isWarm(from) {
 		return (to - from).Seconds()
 	}
 	warmAt := s.startedAt + s.duration
 	growsUntil := min(to, warmAt)
-	whileGrowing := (growsUntil - from).Seconds() * (s.growth(from) + s.growth(growsUntil)) / 2
+	whileGrowing := (growsUntil - from).Seconds() * (s.linearShare(from) + s.linearShare(growsUntil)) / 2
 	return whileGrowing + max(0, to-warmAt).Seconds()
 }
 
-// timeFor returns the seconds from a moment on after which workBetween has reached the given work, in seconds.
-func (s slowStart) timeFor(from time.Duration, work float64) float64 {
+// timeForWork returns the seconds after the given time at which workBetween reaches the given work, in seconds.
+func (s slowStart) timeForWork(from time.Duration, work float64) float64 {
 	if work <= 0 || s.isWarm(from) {
 		return max(0, work)
 	}
@@ -62,8 +63,8 @@
 	if work >= whileGrowing {
 		return (warmAt - from).Seconds() + work - whileGrowing
 	}
-	level := s.warmth(from)
+	level := s.capacityShare(from)
 	slope := (1 - s.initial) / s.duration.Seconds()
-	// The smaller root of level*t + slope*t*t/2 = work, in the form that keeps its digits for a small slope.
+	// This is the positive root of level*t + slope*t*t/2 = work, in the form that stays precise for a small slope.
 	return 2 * work / (level + math.Sqrt(level*level+2*slope*work))
 }
--- a/internal/emulator/model/traffic.go
+++ b/internal/emulator/model/traffic.go
@@ -5,13 +5,12 @@
 	"time"
 )
 
-// trafficTimeConstant is the time over which load reports average: an answer's part in them falls to 1/e within it.
+// trafficTimeConstant is the time constant of the averages in load reports: the weight of a response falls to 1/e
+// within it.
 const trafficTimeConstant = time.Second
 
-// trafficMeter keeps the exponentially weighted averages that load reports hold: answers and errors a second, and the
-// mean latency in seconds.
-//
-// Source: WIRE, "Possible values in a load report".
+// trafficMeter keeps the exponentially weighted averages of a load report: responses and errors a second, and the mean
+// latency in seconds. These values follow the operators' page WIRE ("Possible values in a load report").
 type trafficMeter struct {
 	updated   time.Duration
 	answers   float64
@@ -19,7 +18,7 @@
 	latencies float64 // sum, seconds
 }
 
-// record counts an answer.
+// record counts a response.
 func (m *trafficMeter) record(now, latency time.Duration, failed bool) {
 	m.decay(now)
 	m.answers++
@@ -29,7 +28,8 @@
 	}
 }
 
-// read returns answers a second, errors a second and the mean latency in seconds, which is below 0 without answers.
+// read returns responses a second, errors a second and the mean latency in seconds. The latency is -1 if there were no
+// responses.
 func (m *trafficMeter) read(now time.Duration) (rate, errorRate, latency float64) {
 	m.decay(now)
 	latency = -1
@@ -39,6 +39,7 @@
 	return m.answers / trafficTimeConstant.Seconds(), m.errors / trafficTimeConstant.Seconds(), latency
 }
 
+// decay lowers the weight of all recorded responses by the time since the last update.
 func (m *trafficMeter) decay(now time.Duration) {
 	kept := math.Exp(-float64(max(0, now-m.updated)) / float64(trafficTimeConstant))
 	m.answers *= kept
