--- a/internal/emulator/model/counter.go
+++ b/internal/emulator/model/counter.go
@@ -12,188 +12,194 @@
 	"springfield/internal/emulator"
 )
 
-// Bounds of a call to the counter.
+// Bounds on the calls to the counter.
 const (
-	maxCounterNameBytes = 64
-	maxCounterAmount    = 1e9
-	maxCounterLife      = time.Minute
-	counterDigits       = 7 // to which a total is exact
+	maxCounterNameBytes      = 64
+	maxCounterAmount         = 1e9
+	maxCounterTTL            = time.Minute
+	counterSignificantDigits = 7 // precision of a total
 )
 
 // CounterSpec describes the shared counter.
 type CounterSpec struct {
-	CallsPerSecond float64       // of all parts together; 0: unlimited
-	Parts          int           // names are spread over these; 0 counts as 1
-	Latency        time.Duration // of a call beside its turn
-	MaxWait        time.Duration // a part rejects calls whose turn would come later; 0: no bound
+	CallsPerSecond float64       // capacity of all shards together; 0: unlimited
+	Shards         int           // number of shards that the names are hashed to; 0 counts as 1
+	Latency        time.Duration // latency of a call in addition to its time in the queue
+	MaxWait        time.Duration // longest wait in a shard's queue, beyond which calls are rejected; 0: unlimited
 }
 
-// CounterStatus tells what became of a call to the counter.
+// CounterStatus is the outcome of a call to the counter.
 type CounterStatus uint8
 
-// The statuses of a call.
+// The outcomes of a call.
 const (
 	CounterAdded    CounterStatus = iota + 1
-	CounterRejected               // 503: nothing was added
-	CounterInvalid                // 400: no such call, nothing was added
-	CounterRefused                // the connection was refused: nothing was added
+	CounterRejected               // 503: the queue is too long, and nothing was added
+	CounterInvalid                // 400: the arguments are invalid, and nothing was added
+	CounterRefused                // the connection was refused, and nothing was added
 )
 
 // CounterResult is the answer to a call.
 type CounterResult struct {
 	Status CounterStatus
-	Total  float64 // after the call, exact to seven digits; set with CounterAdded
+	Total  float64 // total after the call, to seven significant digits; set only with CounterAdded
 }
 
-// CounterState tells whether the counter takes calls.
+// CounterState is the availability of the counter.
 type CounterState uint8
 
 // The states of the counter.
 const (
 	CounterUp       CounterState = iota
-	CounterSilent                // stopped: calls are never answered, and nothing is added
-	CounterRefusing              // stopped: connections are refused
+	CounterSilent                // stopped; calls are never answered, and nothing is added
+	CounterRefusing              // stopped; connections are refused
 )
 
-// Counter is the service that keeps numbers by name for all gateways. Each of its parts serves calls in turn, at an
-// even rate; an added amount is in the total from the turn of its call on. A name starts at 0 and is forgotten when the
-// life that its first call gave is over. Calls that have been added are answered in their order at each part; rejected
-// ones are answered at once, and a connection that carries several calls has to put its answers in order.
+// Counter models the service that keeps named totals for all gateways. Each shard serves its calls first in, first
+// out, at a fixed rate; an amount is part of the total from the time at which its call is served. A total starts at 0
+// and expires when the TTL that its first call gave has passed. Each shard answers the calls that have added an
+// amount in order. Rejected calls are answered at once, so that a connection with several calls has to put the
+// answers in order.
 //
-// Source: PROTOCOL ("The counter"), WIRE (Add, Total) and BENCH (parts, troubles counter_down, origin_slow, flush).
+// The model follows the operators' pages PROTOCOL ("The counter"), WIRE (Add, Total) and BENCH (parts, which are the
+// shards, and the faults counter_down, origin_slow and flush).
 type Counter struct {
-	spec      CounterSpec
-	scheduler emulator.Scheduler
-	random    *rand.Rand
-	state     CounterState
-	slowdown  float64
-	numbers   map[string]*counterNumber
-	freeAt    []time.Duration // when each part can begin another call
-	answerAt  []time.Duration // when each part has given its answers
-	stops     uint64          // so often the counter has stopped; calls from before are lost
+	spec         CounterSpec
+	scheduler    emulator.Scheduler
+	random       *rand.Rand
+	state        CounterState
+	slowdown     float64
+	entries      map[string]*counterEntry
+	shardFreeAt  []time.Duration // by shard: when it can start the next call
+	lastAnswerAt []time.Duration // by shard: when the last of its answers is due
+	stopCount    uint64          // how often the counter has stopped; calls from before a stop are lost
 }
 
-type counterNumber struct{ total float64 }
+type counterEntry struct{ total float64 }
 
-// NewCounter returns a counter without names. The random numbers decide which names a flush forgets.
+// NewCounter returns a counter without totals. The random numbers determine which totals a flush deletes.
 func NewCounter(spec CounterSpec, scheduler emulator.Scheduler, random *rand.Rand) *Counter {
 	return &Counter{
-		spec:      spec,
-		scheduler: scheduler,
-		random:    random,
-		slowdown:  1,
-		numbers:   map[string]*counterNumber{},
-		freeAt:    make([]time.Duration, max(1, spec.Parts)),
-		answerAt:  make([]time.Duration, max(1, spec.Parts)),
+		spec:         spec,
+		scheduler:    scheduler,
+		random:       random,
+		slowdown:     1,
+		entries:      map[string]*counterEntry{},
+		shardFreeAt:  make([]time.Duration, max(1, spec.Shards)),
+		lastAnswerAt: make([]time.Duration, max(1, spec.Shards)),
 	}
 }
 
-// Add adds an amount to a number and has the scheduler give the total to done, which is not called before Add has
-// returned. The life is that of a new name, in whole milliseconds; more than a minute counts as a minute.
-func (c *Counter) Add(name string, amount float64, life time.Duration, done func(CounterResult)) {
+// Add adds an amount to the total of a name and has the scheduler pass the result to done, which is not called before
+// Add has returned. The TTL applies if the name is new. It is given in whole milliseconds, at least one; a TTL above a
+// minute counts as a minute.
+func (c *Counter) Add(name string, amount float64, ttl time.Duration, done func(CounterResult)) {
 	switch {
 	case c.state == CounterSilent:
 		return
 	case c.state == CounterRefusing:
 		c.answer(0, CounterResult{Status: CounterRefused}, done)
 		return
-	case !validCounterCall(name, amount, life):
+	case !validCounterCall(name, amount, ttl):
 		c.answer(c.latency(), CounterResult{Status: CounterInvalid}, done)
 		return
 	}
-	part := counterPart(name, len(c.freeAt))
-	turn, ok := c.takeTurn(part)
+	shard := counterShard(name, len(c.shardFreeAt))
+	wait, ok := c.enqueue(shard)
 	if !ok {
 		c.answer(c.latency(), CounterResult{Status: CounterRejected}, done)
 		return
 	}
-	stops := c.stops
-	c.scheduler.After(turn, func() {
-		if stops != c.stops {
+	stopCount := c.stopCount
+	c.scheduler.After(wait, func() {
+		if stopCount != c.stopCount {
 			return
 		}
-		total := c.add(name, amount, min(life, maxCounterLife))
+		total := c.add(name, amount, min(ttl, maxCounterTTL))
 		now := c.scheduler.Now()
-		c.answerAt[part] = max(c.answerAt[part], now+c.latency())
-		c.answer(c.answerAt[part]-now, CounterResult{Status: CounterAdded, Total: total}, done)
+		c.lastAnswerAt[shard] = max(c.lastAnswerAt[shard], now+c.latency())
+		c.answer(c.lastAnswerAt[shard]-now, CounterResult{Status: CounterAdded, Total: total}, done)
 	})
 }
 
-func validCounterCall(name string, amount float64, life time.Duration) bool {
+func validCounterCall(name string, amount float64, ttl time.Duration) bool {
 	return name != "" && len(name) <= maxCounterNameBytes &&
-		math.Abs(amount) <= maxCounterAmount && life >= time.Millisecond
+		math.Abs(amount) <= maxCounterAmount && ttl >= time.Millisecond
 }
 
 func (c *Counter) latency() time.Duration {
 	return time.Duration(float64(c.spec.Latency) * c.slowdown)
 }
 
-// answer gives a result after a delay, unless the counter stops before.
+// answer passes a result to done after a delay, unless the counter stops before.
 func (c *Counter) answer(delay time.Duration, result CounterResult, done func(CounterResult)) {
-	stops := c.stops
+	stopCount := c.stopCount
 	c.scheduler.After(delay, func() {
-		if stops == c.stops {
+		if stopCount == c.stopCount {
 			done(result)
 		}
 	})
 }
 
-// takeTurn returns the time until a part has served the call, or false if its queue is too long.
-func (c *Counter) takeTurn(part int) (turn time.Duration, ok bool) {
+// enqueue adds a call to the queue of a shard. It returns the time until the shard has served the call, or false if
+// the queue is too long.
+func (c *Counter) enqueue(shard int) (wait time.Duration, ok bool) {
 	if c.spec.CallsPerSecond <= 0 {
 		return 0, true
 	}
 	now := c.scheduler.Now()
-	begin := max(now, c.freeAt[part])
+	begin := max(now, c.shardFreeAt[shard])
 	if c.spec.MaxWait > 0 && begin-now > c.spec.MaxWait {
 		return 0, false
 	}
-	perPart := c.spec.CallsPerSecond / float64(len(c.freeAt)) / c.slowdown
-	c.freeAt[part] = begin + secondsToDuration(1/perPart)
-	return c.freeAt[part] - now, true
+	shardCallRate := c.spec.CallsPerSecond / float64(len(c.shardFreeAt)) / c.slowdown
+	c.shardFreeAt[shard] = begin + secondsToDuration(1/shardCallRate)
+	return c.shardFreeAt[shard] - now, true
 }
 
-func counterPart(name string, parts int) int {
+func counterShard(name string, shards int) int {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(name)) // a hash never fails
-	return int(hash.Sum64() % uint64(parts))
+	_, _ = hash.Write([]byte(name)) // Write of a hash never returns an error
+	return int(hash.Sum64() % uint64(shards))
 }
 
-// add returns the new total. A name that is new is forgotten after its life.
-func (c *Counter) add(name string, amount float64, life time.Duration) float64 {
-	number := c.numbers[name]
-	if number == nil {
-		number = &counterNumber{}
-		c.numbers[name] = number
-		c.scheduler.After(life, func() {
-			if c.numbers[name] == number {
-				delete(c.numbers, name)
+// add adds an amount and returns the new total. The total of a new name expires after the TTL.
+func (c *Counter) add(name string, amount float64, ttl time.Duration) float64 {
+	entry := c.entries[name]
+	if entry == nil {
+		entry = &counterEntry{}
+		c.entries[name] = entry
+		c.scheduler.After(ttl, func() {
+			if c.entries[name] == entry {
+				delete(c.entries, name)
 			}
 		})
 	}
-	number.total += amount
-	return roundToDigits(number.total)
+	entry.total += amount
+	return roundToDigits(entry.total)
 }
 
 func roundToDigits(value float64) float64 {
-	rounded, err := strconv.ParseFloat(strconv.FormatFloat(value, 'g', counterDigits, 64), 64)
+	rounded, err := strconv.ParseFloat(strconv.FormatFloat(value, 'g', counterSignificantDigits, 64), 64)
 	if err != nil {
-		return value // not reached: a formatted number can be parsed
+		return value // not reached, since a formatted number can always be parsed
 	}
 	return rounded
 }
 
-// SetState stops the counter or lets it take calls again. Calls that it holds when it stops are lost, with no answer.
+// SetState stops the counter or makes it available again. Calls that it holds when it stops are lost without an
+// answer.
 func (c *Counter) SetState(state CounterState) {
 	if state != CounterUp && c.state == CounterUp {
-		c.stops++
-		clear(c.freeAt)
-		clear(c.answerAt)
+		c.stopCount++
+		clear(c.shardFreeAt)
+		clear(c.lastAnswerAt)
 	}
 	c.state = state
 }
 
-// SetSlowdown makes each call take longer by a factor; 1 ends that. A factor of 0 or less counts as 1.
+// SetSlowdown multiplies the time that each call takes by a factor. A factor of 1 restores the usual time, and a
+// factor of 0 or less counts as 1.
 func (c *Counter) SetSlowdown(factor float64) {
 	if factor <= 0 {
 		factor = 1
@@ -201,11 +207,11 @@
 	c.slowdown = factor
 }
 
-// Flush forgets a share of the names; 1 forgets all of them.
+// Flush deletes a random share of the totals; a share of 1 deletes all of them.
 func (c *Counter) Flush(share float64) {
-	for _, name := range slices.Sorted(maps.Keys(c.numbers)) {
+	for _, name := range slices.Sorted(maps.Keys(c.entries)) {
 		if c.random.Float64() < share {
-			delete(c.numbers, name)
+			delete(c.entries, name)
 		}
 	}
 }
--- a/internal/emulator/model/discovery.go
+++ b/internal/emulator/model/discovery.go
@@ -11,67 +11,69 @@
 	"springfield/policy"
 )
 
-// countsAsNotified is when a gateway counts as notified of a change at the latest, from when discovery had it and could
-// be reached, whether or not the change has arrived.
-const countsAsNotified = 6 * time.Second
+// maxNotificationDelay is the time after which a gateway counts as notified of a change even if the change has not
+// arrived. It counts from when discovery had the change and could be reached.
+const maxNotificationDelay = 6 * time.Second
 
-// Deliver passes an update of the endpoint list on to a gateway. The list is shared: it must not be changed.
+// Deliver passes an update of the endpoint list to a gateway. The list is shared and must not be changed.
 type Deliver func(kind policy.UpdateKind, version uint64, list []policy.Endpoint)
 
-// Discovery is the model of the service that tells gateways which endpoints there are. A pushed one sends each change
-// to the agents of all gateways; of a polled one a gateway has to ask for the list, and calls beyond its capacity fail.
+// Discovery models the service that tells gateways which endpoints exist. Pushed discovery sends each change to the
+// agents of all gateways. Polled discovery returns the list when a gateway calls it, and fails calls beyond its
+// capacity.
 type Discovery struct {
 	spec      emulator.Discovery
 	scheduler emulator.Scheduler
 	random    *rand.Rand
 
-	current  map[policy.EndpointID]policy.Endpoint // the entries that have not been removed
-	changes  []change                              // of all versions: changes[0] has version 1
-	watchers []*watcher                            // in the order in which they were opened
-	notified []uint64                              // by gateway: the version that it counts as notified of
-	down     bool
-	lateness float64
+	current     map[policy.EndpointID]policy.Endpoint // entries that have not been removed
+	changes     []change                              // changes[i] led to version i+1
+	watches     []*watch                              // open watches, in the order in which they were opened
+	notified    []uint64                              // by gateway: version that it counts as notified of
+	down        bool
+	delayFactor float64
 
-	sorted        []policy.Endpoint // the complete list as of sortedVersion
+	sorted        []policy.Endpoint // complete list of version sortedVersion, by id
 	sortedVersion uint64
 
-	callTokens  float64 // of a polled discovery: calls that it could serve now
-	callsServed time.Duration
+	callTokens   float64       // calls that polled discovery can serve at callTokensAt
+	callTokensAt time.Duration // when callTokens was last updated
 
-	// OnOverdue, if set, is called when a gateway counts as notified of changes that have not arrived there.
+	// OnOverdue, if set, is called when a gateway counts as notified of changes that have not reached it within
+	// maxNotificationDelay. The list holds the changed entries.
 	OnOverdue func(gateway int, list []policy.Endpoint)
 }
 
-// change is one version of the list: the entry that has changed, and when.
+// change holds the entry that changed from one version of the list to the next, and when it changed.
 type change struct {
 	at    time.Duration
 	entry policy.Endpoint
 }
 
-// watcher is an open watch of a gateway.
-type watcher struct {
+// watch is a gateway's watch of the endpoint list.
+type watch struct {
 	gateway   int
 	deliver   Deliver
-	version   uint64 // of the last change that was delivered
-	scheduled bool   // a delivery is
-	silent    bool
+	version   uint64 // version of the list up to which changes were delivered; 0: nothing was delivered
+	scheduled bool   // whether a delivery is scheduled
+	silent    bool   // whether the watch delivers nothing more although it is open
 	closed    bool
 }
 
-// NewDiscovery returns a discovery with an empty list.
+// NewDiscovery returns a discovery service with an empty list.
 func NewDiscovery(spec emulator.Discovery, scheduler emulator.Scheduler, random *rand.Rand) *Discovery {
 	return &Discovery{
-		spec:        spec,
-		scheduler:   scheduler,
-		random:      random,
-		current:     map[policy.EndpointID]policy.Endpoint{},
-		lateness:    1,
-		callTokens:  spec.CallsPerSecond,
-		callsServed: scheduler.Now(),
+		spec:         spec,
+		scheduler:    scheduler,
+		random:       random,
+		current:      map[policy.EndpointID]policy.Endpoint{},
+		delayFactor:  1,
+		callTokens:   spec.CallsPerSecond,
+		callTokensAt: scheduler.Now(),
 	}
 }
 
-// Set changes an entry at the source. Open watches learn of it late.
+// Set adds, changes or removes an entry of the list. Open watches deliver the change after a delay.
 func (d *Discovery) Set(endpoint policy.Endpoint) {
 	if endpoint.State == policy.StateRemoved {
 		delete(d.current, endpoint.ID)
@@ -79,15 +81,15 @@
 		d.current[endpoint.ID] = endpoint
 	}
 	d.changes = append(d.changes, change{at: d.scheduler.Now(), entry: endpoint})
-	for _, w := range d.watchers {
-		d.schedule(w)
+	for _, w := range d.watches {
+		d.scheduleDelivery(w)
 	}
 	if d.OnOverdue != nil && !d.down {
-		d.scheduleOverdue(d.version())
+		d.scheduleOverdueCheck(d.version())
 	}
 }
 
-// List returns the complete list by id, and its version.
+// List returns the complete list, sorted by id, and its version.
 func (d *Discovery) List() (version uint64, list []policy.Endpoint) {
 	if version = d.version(); d.sortedVersion != version {
 		byID := func(a, b policy.Endpoint) int { return cmp.Compare(a.ID, b.ID) }
@@ -96,7 +98,7 @@
 	return version, d.sorted
 }
 
-// ReadyEndpoints returns the entries of the list that are ready.
+// ReadyEndpoints returns the entries of the list whose state is ready.
 func (d *Discovery) ReadyEndpoints() []policy.Endpoint {
 	var ready []policy.Endpoint
 	_, list := d.List()
@@ -108,10 +110,10 @@
 	return ready
 }
 
-// Watch opens a watch for a gateway. The complete list comes first and then each change, until cancel is called. An
-// update of the kind UpdateFailed says that the call has failed: that watch brings nothing more.
+// Watch opens a watch for a gateway. It delivers the complete list first and then each change, until cancel is
+// called. An update of the kind UpdateFailed means that the call has failed and the watch delivers nothing more.
 func (d *Discovery) Watch(gateway int, deliver Deliver) (cancel func()) {
-	w := &watcher{gateway: gateway, deliver: deliver}
+	w := &watch{gateway: gateway, deliver: deliver}
 	for len(d.notified) <= gateway {
 		d.notified = append(d.notified, d.version())
 	}
@@ -124,60 +126,62 @@
 		})
 		return func() { w.closed = true }
 	}
-	d.watchers = append(d.watchers, w)
+	d.watches = append(d.watches, w)
 	if !d.down {
-		d.scheduler.After(0, func() { d.deliverAll(w) })
+		d.scheduler.After(0, func() { d.deliverFullList(w) })
 	}
 	return func() { d.close(w) }
 }
 
-// SetDown makes discovery unreachable, or reachable again: open watches then catch up at once.
+// SetDown makes discovery unreachable or reachable again. Once it is reachable again, open watches resume: changes
+// whose delay has passed are delivered at once.
 func (d *Discovery) SetDown(down bool) {
 	returned := d.down && !down
 	d.down = down
 	if !returned {
 		return
 	}
-	for _, w := range slices.Clone(d.watchers) {
+	for _, w := range slices.Clone(d.watches) {
 		if w.version == 0 {
-			d.scheduler.After(0, func() { d.deliverAll(w) })
+			d.scheduler.After(0, func() { d.deliverFullList(w) })
 		} else {
-			d.schedule(w)
+			d.scheduleDelivery(w)
 		}
 	}
 	if d.OnOverdue != nil {
-		d.scheduleOverdue(d.version())
+		d.scheduleOverdueCheck(d.version())
 	}
 }
 
-// Silence makes the open watches bring nothing any more. Their gateways have to open new ones.
+// Silence makes all open watches deliver nothing more. Their gateways have to open new watches.
 func (d *Discovery) Silence() {
-	for _, w := range d.watchers {
+	for _, w := range d.watches {
 		w.silent = true
 	}
 }
 
-// SetListDelayFactor makes updates later by a factor. 1 is as usual.
-func (d *Discovery) SetListDelayFactor(factor float64) { d.lateness = max(0, factor) }
+// SetListDelayFactor multiplies the delays of updates by a factor. A factor of 1 restores the usual delays.
+func (d *Discovery) SetListDelayFactor(factor float64) { d.delayFactor = max(0, factor) }
 
 func (d *Discovery) version() uint64 { return uint64(len(d.changes)) }
 
-func (d *Discovery) close(w *watcher) {
+func (d *Discovery) close(w *watch) {
 	w.closed = true
-	if i := slices.Index(d.watchers, w); i >= 0 {
-		d.watchers = slices.Delete(d.watchers, i, i+1)
+	if i := slices.Index(d.watches, w); i >= 0 {
+		d.watches = slices.Delete(d.watches, i, i+1)
 	}
 }
 
-// takeCall takes one call out of the capacity of a polled discovery, which saves up that of one second.
+// takeCall takes a call from the capacity of polled discovery and reports whether there was any left. The capacity is
+// a token bucket that holds the calls of one second.
 func (d *Discovery) takeCall() bool {
 	if d.spec.CallsPerSecond <= 0 {
 		return true
 	}
 	now := d.scheduler.Now()
-	d.callTokens += d.spec.CallsPerSecond * (now - d.callsServed).Seconds()
+	d.callTokens += d.spec.CallsPerSecond * (now - d.callTokensAt).Seconds()
 	d.callTokens = min(d.callTokens, max(1, d.spec.CallsPerSecond))
-	d.callsServed = now
+	d.callTokensAt = now
 	if d.callTokens < 1 {
 		return false
 	}
@@ -185,8 +189,8 @@
 	return true
 }
 
-// deliverAll begins a watch with the complete list.
-func (d *Discovery) deliverAll(w *watcher) {
+// deliverFullList delivers the complete list as the first update of a watch.
+func (d *Discovery) deliverFullList(w *watch) {
 	if w.closed || w.silent || d.down {
 		return
 	}
@@ -196,23 +200,24 @@
 	w.deliver(policy.UpdateFull, version, list)
 }
 
-// schedule plans the delivery of the oldest change that a watch has not brought yet.
-func (d *Discovery) schedule(w *watcher) {
+// scheduleDelivery schedules the delivery of the oldest change that a watch has not delivered yet.
+func (d *Discovery) scheduleDelivery(w *watch) {
 	if w.scheduled || w.closed || w.silent || d.down || w.version == 0 || w.version >= d.version() {
 		return
 	}
 	w.scheduled = true
-	due := d.changes[w.version].at + d.delay()
+	due := d.changes[w.version].at + d.drawDelay()
 	d.scheduler.After(due-d.scheduler.Now(), func() { d.deliverChanges(w) })
 }
 
-// deliverChanges delivers the changes that have been on their way for at least the shortest delay.
-func (d *Discovery) deliverChanges(w *watcher) {
+// deliverChanges delivers the oldest outstanding change, together with all later changes that are at least DelayMin
+// old.
+func (d *Discovery) deliverChanges(w *watch) {
 	w.scheduled = false
 	if w.closed || w.silent || d.down {
 		return
 	}
-	newest := d.scheduler.Now() - d.scaled(d.spec.DelayMin.Of())
+	newest := d.scheduler.Now() - d.scaleDelay(d.spec.DelayMin.Of())
 	through := w.version
 	for through < d.version() && (through == w.version || d.changes[through].at <= newest) {
 		through++
@@ -223,10 +228,10 @@
 	if len(list) > 0 {
 		w.deliver(policy.UpdateDelta, through, list)
 	}
-	d.schedule(w)
+	d.scheduleDelivery(w)
 }
 
-// changedEntries returns the entries that changed after one version and up to another, each as it was last.
+// changedEntries returns the entries that changed after one version and up to another, each in its latest state.
 func (d *Discovery) changedEntries(after, through uint64) []policy.Endpoint {
 	var list []policy.Endpoint
 	for _, c := range d.changes[after:max(after, through)] {
@@ -240,9 +245,10 @@
 	return list
 }
 
-// scheduleOverdue lets the gateways that a version has not reached in time count as notified of it all the same.
-func (d *Discovery) scheduleOverdue(version uint64) {
-	d.scheduler.After(countsAsNotified, func() {
+// scheduleOverdueCheck makes the gateways that a version has not reached within maxNotificationDelay count as
+// notified of it, and reports them through OnOverdue.
+func (d *Discovery) scheduleOverdueCheck(version uint64) {
+	d.scheduler.After(maxNotificationDelay, func() {
 		if d.down {
 			return
 		}
@@ -255,11 +261,12 @@
 	})
 }
 
-func (d *Discovery) delay() time.Duration {
-	least, most := d.spec.DelayMin.Of(), d.spec.DelayMax.Of()
-	return d.scaled(least + time.Duration(d.random.Float64()*float64(max(0, most-least))))
+// drawDelay draws the delay of an update.
+func (d *Discovery) drawDelay() time.Duration {
+	shortest, longest := d.spec.DelayMin.Of(), d.spec.DelayMax.Of()
+	return d.scaleDelay(shortest + time.Duration(d.random.Float64()*float64(max(0, longest-shortest))))
 }
 
-func (d *Discovery) scaled(delay time.Duration) time.Duration {
-	return time.Duration(d.lateness * float64(delay))
+func (d *Discovery) scaleDelay(delay time.Duration) time.Duration {
+	return time.Duration(d.delayFactor * float64(delay))
 }
--- a/internal/emulator/model/faults.go
+++ b/internal/emulator/model/faults.go
@@ -14,32 +14,33 @@
 	// restartGroups is the number of groups in which a rolling restart shuts gateways down.
 	restartGroups = 10
 
-	// replacedDrain is how long an endpoint that is being replaced drains before it stops.
-	replacedDrain = 5 * time.Second
+	// replacementDrainTime is how long a replaced endpoint drains before it stops.
+	replacementDrainTime = 5 * time.Second
 )
 
-// FaultTarget is a deployment that faults can be made in.
+// FaultTarget is a deployment into which faults are injected.
 type FaultTarget interface {
-	// Gateways returns the number of gateways, and GatewayZone the zone of one.
+	// Gateways returns the number of gateways.
 	Gateways() int
+	// GatewayZone returns the zone of a gateway.
 	GatewayZone(gateway int) int
-	// Endpoints returns the endpoints that neither drain nor are stopped, by id.
+	// Endpoints returns the endpoints that are neither draining nor stopped, in order of their ids.
 	Endpoints() []policy.Endpoint
 
 	KillGateway(gateway int)
 	StartGateway(gateway int)
-	RestartGateway(gateway int) // shuts it down gracefully, and starts it when it has ended
+	RestartGateway(gateway int) // shuts the gateway down gracefully and starts it again once it has ended
 
 	DrainEndpoint(id policy.EndpointID)
-	StopEndpoint(id policy.EndpointID)  // ends its process
-	StartEndpoint(id policy.EndpointID) // warming up
-	AddReplacement(id policy.EndpointID)
-	SlowEndpoint(id policy.EndpointID, factor float64) // 1: as usual
+	StopEndpoint(id policy.EndpointID)                 // ends the endpoint's process
+	StartEndpoint(id policy.EndpointID)                // starts a new process, which warms up
+	AddReplacement(id policy.EndpointID)               // adds a new endpoint in the place of this one
+	SlowEndpoint(id policy.EndpointID, factor float64) // a factor of 1 restores the usual speed
 	FailEndpoint(id policy.EndpointID, share float64)
 	SilenceEndpoint(id policy.EndpointID, silent bool)
 
-	PartitionEndpoint(id policy.EndpointID, cut bool)
-	PartitionZone(zone int, cut bool) // off from the other zones
+	PartitionEndpoint(id policy.EndpointID, partitioned bool)
+	PartitionZone(zone int, partitioned bool) // cuts the zone off from the other zones
 	ResetAttempts(share float64)
 	CorruptResponses(share float64)
 	SilenceMeter(silent bool)
@@ -47,20 +48,21 @@
 	SetDiscoveryDown(down bool)
 	SilenceWatches()
 	MoveDiscovery()
-	SetListDelayFactor(factor float64) // 1: as usual
+	SetListDelayFactor(factor float64) // a factor of 1 restores the usual delays
 }
 
-// ScheduleFaults schedules the faults of a scenario. It is called when the load begins.
+// ScheduleFaults schedules the faults of a scenario. It must be called when the load begins, since the times of faults
+// count from then.
 func ScheduleFaults(scenario *emulator.Scenario, scheduler emulator.Scheduler, random *rand.Rand, target FaultTarget,
 	observer emulator.Observer) {
 	for _, fault := range scenario.Faults {
-		s := &faultScheduler{fault: fault, scheduler: scheduler, random: random, target: target, observer: observer}
+		s := &faultInjector{fault: fault, scheduler: scheduler, random: random, target: target, observer: observer}
 		scheduler.After(fault.At.Of(), s.begin)
 	}
 }
 
-// faultScheduler carries out one fault.
-type faultScheduler struct {
+// faultInjector carries out one fault.
+type faultInjector struct {
 	fault     emulator.Fault
 	scheduler emulator.Scheduler
 	random    *rand.Rand
@@ -68,39 +70,39 @@
 	observer  emulator.Observer
 }
 
-func (s *faultScheduler) begin() {
+func (s *faultInjector) begin() {
 	s.observe(true)
 	switch s.fault.Kind {
 	case emulator.FaultKillGateways, emulator.FaultRestartGateways:
-		s.faultGateways()
+		s.applyToGateways()
 	case emulator.FaultDrainEndpoints, emulator.FaultReplace, emulator.FaultStopEndpoints,
 		emulator.FaultSlowEndpoints, emulator.FaultFailEndpoints, emulator.FaultSilentEndpoints:
-		s.faultEndpoints(s.selectEndpoints())
+		s.applyToEndpoints(s.selectEndpoints())
 	case emulator.FaultPartition:
 		s.partition()
 	default:
-		s.faultService()
+		s.applyToSharedServices()
 	}
 	s.scheduler.After(s.fault.Length.Of(), func() { s.observe(false) })
 }
 
-func (s *faultScheduler) observe(active bool) {
+func (s *faultInjector) observe(active bool) {
 	if s.observer != nil {
 		s.observer.Observe(s.scheduler.Now(), emulator.FaultChanged{Fault: s.fault, Active: active})
 	}
 }
 
-// during runs one function now and another when the fault is over.
-func (s *faultScheduler) during(begin, end func()) {
+// runForLength calls begin now and end when the fault is over.
+func (s *faultInjector) runForLength(begin, end func()) {
 	begin()
 	s.scheduler.After(s.fault.Length.Of(), end)
 }
 
-func (s *faultScheduler) faultGateways() {
+func (s *faultInjector) applyToGateways() {
 	gateways := s.selectGateways()
 	for i, gateway := range gateways {
 		if s.fault.Kind == emulator.FaultKillGateways {
-			s.during(func() { s.target.KillGateway(gateway) }, func() { s.target.StartGateway(gateway) })
+			s.runForLength(func() { s.target.KillGateway(gateway) }, func() { s.target.StartGateway(gateway) })
 			continue
 		}
 		group := i * restartGroups / len(gateways)
@@ -109,67 +111,68 @@
 	}
 }
 
-func (s *faultScheduler) faultEndpoints(ids []policy.EndpointID) {
+func (s *faultInjector) applyToEndpoints(ids []policy.EndpointID) {
 	factor := s.fault.Factor
 	for i, id := range ids {
 		switch s.fault.Kind {
 		case emulator.FaultDrainEndpoints:
-			s.during(func() { s.target.DrainEndpoint(id) }, func() { s.target.StopEndpoint(id) })
+			s.runForLength(func() { s.target.DrainEndpoint(id) }, func() { s.target.StopEndpoint(id) })
 		case emulator.FaultReplace:
 			wait := s.fault.Length.Of() * time.Duration(i) / time.Duration(len(ids))
-			s.scheduler.After(wait, func() { s.replace(id) })
+			s.scheduler.After(wait, func() { s.replaceEndpoint(id) })
 		case emulator.FaultStopEndpoints:
-			s.during(func() { s.target.StopEndpoint(id) }, func() { s.target.StartEndpoint(id) })
+			s.runForLength(func() { s.target.StopEndpoint(id) }, func() { s.target.StartEndpoint(id) })
 		case emulator.FaultSlowEndpoints:
-			s.during(func() { s.target.SlowEndpoint(id, factor) }, func() { s.target.SlowEndpoint(id, 1) })
+			s.runForLength(func() { s.target.SlowEndpoint(id, factor) }, func() { s.target.SlowEndpoint(id, 1) })
 		case emulator.FaultFailEndpoints:
-			s.during(func() { s.target.FailEndpoint(id, factor) }, func() { s.target.FailEndpoint(id, 0) })
+			s.runForLength(func() { s.target.FailEndpoint(id, factor) }, func() { s.target.FailEndpoint(id, 0) })
 		case emulator.FaultSilentEndpoints:
-			s.during(func() { s.target.SilenceEndpoint(id, true) }, func() { s.target.SilenceEndpoint(id, false) })
+			s.runForLength(func() { s.target.SilenceEndpoint(id, true) }, func() { s.target.SilenceEndpoint(id, false) })
 		}
 	}
 }
 
-// replace starts a new endpoint in the place of one, which drains and then stops.
-func (s *faultScheduler) replace(id policy.EndpointID) {
+// replaceEndpoint adds a replacement for an endpoint, which drains and then stops.
+func (s *faultInjector) replaceEndpoint(id policy.EndpointID) {
 	s.target.AddReplacement(id)
 	s.target.DrainEndpoint(id)
-	s.scheduler.After(replacedDrain, func() { s.target.StopEndpoint(id) })
+	s.scheduler.After(replacementDrainTime, func() { s.target.StopEndpoint(id) })
 }
 
-func (s *faultScheduler) partition() {
+func (s *faultInjector) partition() {
 	if zone := s.fault.Zone - 1; zone >= 0 {
-		s.during(func() { s.target.PartitionZone(zone, true) }, func() { s.target.PartitionZone(zone, false) })
+		s.runForLength(func() { s.target.PartitionZone(zone, true) }, func() { s.target.PartitionZone(zone, false) })
 		return
 	}
 	for _, id := range s.selectEndpoints() {
-		s.during(func() { s.target.PartitionEndpoint(id, true) }, func() { s.target.PartitionEndpoint(id, false) })
+		s.runForLength(func() { s.target.PartitionEndpoint(id, true) }, func() { s.target.PartitionEndpoint(id, false) })
 	}
 }
 
-// faultService carries out the faults of what all gateways share.
-func (s *faultScheduler) faultService() {
+// applyToSharedServices carries out the faults of what all gateways share: discovery, the meter, and the responses to
+// their attempts.
+func (s *faultInjector) applyToSharedServices() {
 	target, factor := s.target, s.fault.Factor
 	switch s.fault.Kind {
 	case emulator.FaultDiscoveryDown:
-		s.during(func() { target.SetDiscoveryDown(true) }, func() { target.SetDiscoveryDown(false) })
+		s.runForLength(func() { target.SetDiscoveryDown(true) }, func() { target.SetDiscoveryDown(false) })
 	case emulator.FaultWatchSilence:
 		target.SilenceWatches()
 	case emulator.FaultDiscoveryMoves:
 		target.MoveDiscovery()
 	case emulator.FaultLateLists:
-		s.during(func() { target.SetListDelayFactor(factor) }, func() { target.SetListDelayFactor(1) })
+		s.runForLength(func() { target.SetListDelayFactor(factor) }, func() { target.SetListDelayFactor(1) })
 	case emulator.FaultResets:
-		s.during(func() { target.ResetAttempts(factor) }, func() { target.ResetAttempts(0) })
+		s.runForLength(func() { target.ResetAttempts(factor) }, func() { target.ResetAttempts(0) })
 	case emulator.FaultSpoiltAnswers:
-		s.during(func() { target.CorruptResponses(factor) }, func() { target.CorruptResponses(0) })
+		s.runForLength(func() { target.CorruptResponses(factor) }, func() { target.CorruptResponses(0) })
 	case emulator.FaultMeterSilence:
-		s.during(func() { target.SilenceMeter(true) }, func() { target.SilenceMeter(false) })
+		s.runForLength(func() { target.SilenceMeter(true) }, func() { target.SilenceMeter(false) })
 	}
 }
 
-// selectGateways returns the gateways of the fault's zone, or else a random share of all.
-func (s *faultScheduler) selectGateways() []int {
+// selectGateways returns the gateways of the fault's zone, or a random share of all gateways if the fault has no zone.
+func (s *faultInjector) selectGateways() []int {
 	var all, inZone []int
 	for gateway := range s.target.Gateways() {
 		all = append(all, gateway)
@@ -183,8 +186,9 @@
 	return selectShare(s.random, all, s.fault.Share)
 }
 
-// selectEndpoints returns the endpoints of the fault's zone, or else a random share of all.
-func (s *faultScheduler) selectEndpoints() []policy.EndpointID {
+// selectEndpoints returns the endpoints of the fault's zone, or a random share of all endpoints if the fault has no
+// zone.
+func (s *faultInjector) selectEndpoints() []policy.EndpointID {
 	var all, inZone []policy.EndpointID
 	for _, endpoint := range s.target.Endpoints() {
 		all = append(all, endpoint.ID)
@@ -198,7 +202,8 @@
 	return selectShare(s.random, all, s.fault.Share)
 }
 
-// selectShare returns a random share of the items, rounded and at least one of them, in their order.
+// selectShare returns a random selection of the items in their original order. Its size is the rounded share of the
+// items, and at least one if there are any.
 func selectShare[T any](random *rand.Rand, items []T, share float64) []T {
 	count := int(math.Round(share * float64(len(items))))
 	count = min(len(items), max(1, count))
--- a/internal/emulator/model/faults_test.go
+++ b/internal/emulator/model/faults_test.go
@@ -12,7 +12,7 @@
 	"springfield/policy"
 )
 
-// faultRecorder is a FaultTarget of ten gateways and ten endpoints in two zones. It writes down what is done to it.
+// faultRecorder is a FaultTarget with ten gateways and ten endpoints in two zones. It logs each call with its time.
 type faultRecorder struct {
 	scheduler emulator.Scheduler
 	log       []string
@@ -33,27 +33,31 @@
 	return list
 }
 
-func (r *faultRecorder) KillGateway(int)                                 { r.record("kill") }
-func (r *faultRecorder) StartGateway(int)                                { r.record("start gateway") }
-func (r *faultRecorder) RestartGateway(int)                              { r.record("restart") }
-func (r *faultRecorder) DrainEndpoint(policy.EndpointID)                 { r.record("drain") }
-func (r *faultRecorder) StopEndpoint(policy.EndpointID)                  { r.record("stop") }
-func (r *faultRecorder) StartEndpoint(policy.EndpointID)                 { r.record("start") }
-func (r *faultRecorder) AddReplacement(policy.EndpointID)                { r.record("add") }
-func (r *faultRecorder) SlowEndpoint(_ policy.EndpointID, f float64)     { r.record("slow %v", f) }
-func (r *faultRecorder) FailEndpoint(_ policy.EndpointID, s float64)     { r.record("fail %v", s) }
-func (r *faultRecorder) SilenceEndpoint(_ policy.EndpointID, s bool)     { r.record("silence %v", s) }
-func (r *faultRecorder) PartitionEndpoint(_ policy.EndpointID, cut bool) { r.record("cut %v", cut) }
-func (r *faultRecorder) PartitionZone(zone int, cut bool)                { r.record("cut zone %d %v", zone, cut) }
-func (r *faultRecorder) ResetAttempts(share float64)                     { r.record("reset %v", share) }
-func (r *faultRecorder) CorruptResponses(share float64)                  { r.record("spoil %v", share) }
-func (r *faultRecorder) SilenceMeter(silent bool)                        { r.record("meter %v", silent) }
-func (r *faultRecorder) SetDiscoveryDown(down bool)                      { r.record("discovery down %v", down) }
-func (r *faultRecorder) SilenceWatches()                                 { r.record("silence watches") }
-func (r *faultRecorder) MoveDiscovery()                                  { r.record("move discovery") }
-func (r *faultRecorder) SetListDelayFactor(factor float64)               { r.record("lateness %v", factor) }
+func (r *faultRecorder) KillGateway(int)                             { r.record("kill") }
+func (r *faultRecorder) StartGateway(int)                            { r.record("start gateway") }
+func (r *faultRecorder) RestartGateway(int)                          { r.record("restart") }
+func (r *faultRecorder) DrainEndpoint(policy.EndpointID)             { r.record("drain") }
+func (r *faultRecorder) StopEndpoint(policy.EndpointID)              { r.record("stop") }
+func (r *faultRecorder) StartEndpoint(policy.EndpointID)             { r.record("start") }
+func (r *faultRecorder) AddReplacement(policy.EndpointID)            { r.record("add") }
+func (r *faultRecorder) SlowEndpoint(_ policy.EndpointID, f float64) { r.record("slow %v", f) }
+func (r *faultRecorder) FailEndpoint(_ policy.EndpointID, s float64) { r.record("fail %v", s) }
+func (r *faultRecorder) SilenceEndpoint(_ policy.EndpointID, s bool) { r.record("silence %v", s) }
+func (r *faultRecorder) PartitionEndpoint(_ policy.EndpointID, partitioned bool) {
+	r.record("partition %v", partitioned)
+}
+func (r *faultRecorder) PartitionZone(zone int, partitioned bool) {
+	r.record("partition zone %d %v", zone, partitioned)
+}
+func (r *faultRecorder) ResetAttempts(share float64)       { r.record("reset %v", share) }
+func (r *faultRecorder) CorruptResponses(share float64)    { r.record("corrupt %v", share) }
+func (r *faultRecorder) SilenceMeter(silent bool)          { r.record("meter %v", silent) }
+func (r *faultRecorder) SetDiscoveryDown(down bool)        { r.record("discovery down %v", down) }
+func (r *faultRecorder) SilenceWatches()                   { r.record("silence watches") }
+func (r *faultRecorder) MoveDiscovery()                    { r.record("move discovery") }
+func (r *faultRecorder) SetListDelayFactor(factor float64) { r.record("list delay %v", factor) }
 
-// Observe implements emulator.Observer.
+// Observe logs the begin and the end of a fault. It implements emulator.Observer.
 func (r *faultRecorder) Observe(_ time.Duration, observation emulator.Observation) {
 	r.record("active %v", observation.(emulator.FaultChanged).Active)
 }
@@ -74,29 +78,32 @@
 		{emulator.Fault{Kind: emulator.FaultSlowEndpoints, Share: 0.1, Factor: 3}, []string{"3s slow 3", "7s slow 1"}},
 		{emulator.Fault{Kind: emulator.FaultFailEndpoints, Share: 0.1, Factor: 0.5}, []string{"3s fail 0.5", "7s fail 0"}},
 		{emulator.Fault{Kind: emulator.FaultSilentEndpoints, Share: 0.1}, []string{"3s silence true", "7s silence false"}},
-		{emulator.Fault{Kind: emulator.FaultPartition, Share: 0.1}, []string{"3s cut true", "7s cut false"}},
-		{emulator.Fault{Kind: emulator.FaultPartition, Zone: 2}, []string{"3s cut zone 1 true", "7s cut zone 1 false"}},
+		{emulator.Fault{Kind: emulator.FaultPartition, Share: 0.1}, []string{"3s partition true", "7s partition false"}},
+		{
+			emulator.Fault{Kind: emulator.FaultPartition, Zone: 2},
+			[]string{"3s partition zone 1 true", "7s partition zone 1 false"},
+		},
 		{emulator.Fault{Kind: emulator.FaultDiscoveryDown}, []string{"3s discovery down true", "7s discovery down false"}},
 		{emulator.Fault{Kind: emulator.FaultWatchSilence}, []string{"3s silence watches"}},
 		{emulator.Fault{Kind: emulator.FaultDiscoveryMoves}, []string{"3s move discovery"}},
-		{emulator.Fault{Kind: emulator.FaultLateLists, Factor: 4}, []string{"3s lateness 4", "7s lateness 1"}},
+		{emulator.Fault{Kind: emulator.FaultLateLists, Factor: 4}, []string{"3s list delay 4", "7s list delay 1"}},
 		{emulator.Fault{Kind: emulator.FaultResets, Factor: 0.1}, []string{"3s reset 0.1", "7s reset 0"}},
-		{emulator.Fault{Kind: emulator.FaultSpoiltAnswers, Factor: 0.1}, []string{"3s spoil 0.1", "7s spoil 0"}},
+		{emulator.Fault{Kind: emulator.FaultSpoiltAnswers, Factor: 0.1}, []string{"3s corrupt 0.1", "7s corrupt 0"}},
 		{emulator.Fault{Kind: emulator.FaultMeterSilence}, []string{"3s meter true", "7s meter false"}},
 	} {
 		t.Run(string(test.fault.Kind), func(t *testing.T) {
 			test.fault.At, test.fault.Length = emulator.Duration(3*time.Second), emulator.Duration(4*time.Second)
 			want := append([]string{"3s active true", "7s active false"}, test.want...)
 			slices.Sort(want)
-			if got := playFault(test.fault); !reflect.DeepEqual(got, want) {
+			if got := runFault(test.fault); !reflect.DeepEqual(got, want) {
 				t.Errorf("got %q, want %q", got, want)
 			}
 		})
 	}
 }
 
-// playFault returns what a fault does, sorted.
-func playFault(fault emulator.Fault) []string {
+// runFault carries out a fault and returns the log of its calls, sorted.
+func runFault(fault emulator.Fault) []string {
 	scheduler := emulator.NewVirtualScheduler(0)
 	target := &faultRecorder{scheduler: scheduler}
 	scenario := emulator.Scenario{Faults: []emulator.Fault{fault}}
@@ -106,8 +113,8 @@
 	return target.log
 }
 
-func TestFaultOfAZoneStrikesAllOfIt(t *testing.T) {
-	got := playFault(emulator.Fault{Kind: emulator.FaultStopEndpoints, Zone: 1, Length: emulator.Duration(time.Second)})
+func TestFaultWithAZoneAffectsTheWholeZone(t *testing.T) {
+	got := runFault(emulator.Fault{Kind: emulator.FaultStopEndpoints, Zone: 1, Length: emulator.Duration(time.Second)})
 	stops := 0
 	for _, line := range got {
 		if line == "0s stop" {
@@ -125,10 +132,10 @@
 	for share, want := range map[float64]int{0: 1, 0.01: 1, 0.5: 4, 1: 8} {
 		selected := selectShare(random, items, share)
 		if len(selected) != want || !slices.IsSorted(selected) {
-			t.Errorf("a share of %v is %v, want %d", share, selected, want)
+			t.Errorf("share %v selects %v, want %d items in order", share, selected, want)
 		}
 	}
 	if selected := selectShare(random, []int(nil), 1); len(selected) != 0 {
-		t.Errorf("of nothing %v was selected", selected)
+		t.Errorf("selected %v from no items", selected)
 	}
 }
--- a/internal/emulator/model/ledger.go
+++ b/internal/emulator/model/ledger.go
@@ -8,18 +8,19 @@
 	"springfield/policy"
 )
 
-// quotaTolerance is the part of a unit that rounding may cost.
+// quotaTolerance absorbs rounding errors in the levels of token buckets, in units.
 const quotaTolerance = 1e-9
 
-// Ledger keeps the true quotas and ceilings of all customers over all gateways together, which no gateway can see. Each
-// is a token bucket that starts full. A request takes its units when it is first sent; one beyond the quota takes
-// nothing from the quota, and all take from the ceiling.
+// Ledger accounts for the quotas and ceilings of all customers over all gateways together, which no gateway can see.
+// Quotas and ceilings are token buckets that start full. A request takes its units when it is first sent. A request
+// over quota takes nothing from the quota; every request takes from the ceiling.
 //
-// Source: WIRE (Contracts, rule 5) and BENCH ("This kind of system"). Amounts are in units, times are Unix time.
+// The rules follow the operators' pages WIRE (Contracts, rule 5) and BENCH ("This kind of system"). Amounts are in
+// units, times are Unix time.
 type Ledger struct {
 	plans         []emulator.Plan
 	accounts      map[accountKey]*account
-	latest        time.Duration // of all times that the ledger has been given
+	latestTime    time.Duration // latest time that the ledger has been called with
 	ceilingBroken []policy.CustomerID
 }
 
@@ -41,83 +42,86 @@
 	return &Ledger{plans: plans, accounts: map[accountKey]*account{}}
 }
 
-// Take takes the units of a request that is first sent, and reports whether it is within the quota: the bucket holds
-// the units, and fewer attempts than Plan.MaxConcurrent are in flight. The attempt itself is counted by BeginAttempt.
+// Take charges the units of a request when it is first sent, and reports whether the request is within the quota: the
+// bucket holds the units, and fewer than Plan.MaxConcurrent attempts are in flight. Take does not count the attempt
+// as in flight; BeginAttempt does.
 func (l *Ledger) Take(now time.Duration, customer policy.CustomerID, plan int, units float64) (withinQuota bool) {
-	taken := l.account(now, customer, plan)
-	l.takeCeiling(taken, customer, units)
-	if limit := taken.plan.MaxConcurrent; limit > 0 && taken.inFlight >= limit {
+	entry := l.account(now, customer, plan)
+	l.takeCeiling(entry, customer, units)
+	if limit := entry.plan.MaxConcurrent; limit > 0 && entry.inFlight >= limit {
 		return false
 	}
-	if taken.plan.Rate <= 0 {
+	if entry.plan.Rate <= 0 {
 		return true
 	}
-	if taken.quota.level+quotaTolerance < units {
+	if entry.quota.level+quotaTolerance < units {
 		return false
 	}
-	taken.quota.level -= units
+	entry.quota.level -= units
 	return true
 }
 
-func (l *Ledger) takeCeiling(taken *account, customer policy.CustomerID, units float64) {
-	if taken.plan.CeilingRate <= 0 {
+// takeCeiling charges the ceiling, and records the customer if that breaks the ceiling for the first time.
+func (l *Ledger) takeCeiling(entry *account, customer policy.CustomerID, units float64) {
+	if entry.plan.CeilingRate <= 0 {
 		return
 	}
-	taken.ceiling.level -= units
-	if !taken.ceilingBroken && taken.ceiling.level < -taken.plan.CeilingSlack-quotaTolerance {
-		taken.ceilingBroken = true
+	entry.ceiling.level -= units
+	if !entry.ceilingBroken && entry.ceiling.level < -entry.plan.CeilingSlack-quotaTolerance {
+		entry.ceilingBroken = true
 		l.ceilingBroken = append(l.ceilingBroken, customer)
 	}
 }
 
-// Settle corrects a request that was within the quota: the difference is its true units less those taken. The quota may
-// go below 0, and what is given back does not fill it over its burst. The ceiling goes by the units taken. The time is
-// the latest one that the ledger has been given.
+// Settle corrects the charge for a request that was within the quota. The difference is its true units minus the units
+// charged. The level of the quota may fall below 0, but a refund does not raise it above its burst. The ceiling is not
+// corrected. The correction applies at the latest time that the ledger has been called with.
 func (l *Ledger) Settle(customer policy.CustomerID, plan int, difference float64) {
-	settled := l.account(l.latest, customer, plan)
-	settled.quota.level = min(settled.quota.burst, settled.quota.level-difference)
+	entry := l.account(l.latestTime, customer, plan)
+	entry.quota.level = min(entry.quota.burst, entry.quota.level-difference)
 }
 
-// Left returns what is left of a customer's quota, below 0 if it was settled so, and infinite without a rate.
+// Left returns the units left in a customer's quota. They may be below 0 after a settlement, and are infinite if the
+// plan has no rate.
 func (l *Ledger) Left(now time.Duration, customer policy.CustomerID, plan int) float64 {
-	present := l.account(now, customer, plan)
-	if present.plan.Rate <= 0 {
+	entry := l.account(now, customer, plan)
+	if entry.plan.Rate <= 0 {
 		return math.Inf(1)
 	}
-	return present.quota.level
+	return entry.quota.level
 }
 
 // BeginAttempt counts an attempt in flight.
 func (l *Ledger) BeginAttempt(customer policy.CustomerID, plan int) {
-	l.account(l.latest, customer, plan).inFlight++
+	l.account(l.latestTime, customer, plan).inFlight++
 }
 
-// EndAttempt counts an attempt as no more in flight.
+// EndAttempt counts an attempt as no longer in flight.
 func (l *Ledger) EndAttempt(customer policy.CustomerID, plan int) {
-	ended := l.account(l.latest, customer, plan)
-	ended.inFlight = max(0, ended.inFlight-1)
+	entry := l.account(l.latestTime, customer, plan)
+	entry.inFlight = max(0, entry.inFlight-1)
 }
 
-// CeilingBroken returns the customers whose ceiling has been broken, in the order in which that happened.
+// CeilingBroken returns the customers who have exceeded their ceiling, in the order in which they first did.
 func (l *Ledger) CeilingBroken() []policy.CustomerID { return l.ceilingBroken }
 
-// account returns a customer's account, filled up to the given time.
+// account returns a customer's account with its token buckets refilled up to the given time.
 func (l *Ledger) account(now time.Duration, customer policy.CustomerID, plan int) *account {
-	l.latest = max(l.latest, now)
+	l.latestTime = max(l.latestTime, now)
 	key := accountKey{customer: customer, plan: plan}
-	found := l.accounts[key]
-	if found == nil {
-		contract := &l.plans[plan]
-		found = &account{
-			plan:    contract,
-			quota:   newTokenBucket(contract.Rate, contract.Burst, now),
-			ceiling: newTokenBucket(contract.CeilingRate, contract.CeilingBurst, now),
+	entry := l.accounts[key]
+	if entry == nil {
+		planSpec := &l.plans[plan]
+		entry = &account{
+			plan:    planSpec,
+			quota:   newTokenBucket(planSpec.Rate, planSpec.Burst, now),
+			ceiling: newTokenBucket(planSpec.CeilingRate, planSpec.CeilingBurst, now),
 		}
-		l.accounts[key] = found
+		l.accounts[key] = entry
 	}
-	found.quota.refill(now)
-	found.ceiling.refill(now)
-	return found
+	entry.quota.refill(now)
+	entry.ceiling.refill(now)
+	return entry
 }
 
 // tokenBucket fills at a rate, in units a second, up to its burst.
--- a/internal/emulator/model/meter.go
+++ b/internal/emulator/model/meter.go
@@ -9,24 +9,24 @@
 	"springfield/policy"
 )
 
-// usageStepsPerQuota is how finely answers tell the usage: in whole percent.
-const usageStepsPerQuota = 100
+// readingStepsPerQuota is the resolution of readings: responses carry the usage in whole percent of the quota.
+const readingStepsPerQuota = 100
 
-// Meter adds up each customer's use over all gateways, period by period. What it has added up for a period is known
-// some time after the end of the period, drawn for each period from Meter.DelayMin to Meter.DelayMax.
+// Meter adds up each customer's usage over all gateways, period by period. The sums of a period become known after a
+// delay from the end of the period, which is drawn for each period from Meter.DelayMin to Meter.DelayMax.
 //
-// Source: PROTOCOL (Usage-Percent) and WIRE (FleetUse, Extra.UsePeriodMs). Use is in units, times are Unix time;
-// periods begin at multiples of the period.
+// The model follows the operators' pages PROTOCOL (Usage-Percent) and WIRE (FleetUse, Extra.UsePeriodMs). Usage is in
+// units, times are Unix time, and periods start at multiples of the period's length.
 type Meter struct {
-	spec     emulator.Meter
-	random   *rand.Rand
-	silent   bool
-	started  bool
-	end      time.Duration // of the present period
-	current  usageByCustomer
-	pending  []meterPeriod // finished, not yet known, in order
-	known    usageByCustomer
-	hasKnown bool
+	spec      emulator.Meter
+	random    *rand.Rand
+	silent    bool
+	started   bool
+	periodEnd time.Duration // end of the current period
+	current   usageByCustomer
+	pending   []meterPeriod // periods that have ended and are not known yet, in order
+	known     usageByCustomer
+	hasKnown  bool
 }
 
 type usageByCustomer map[policy.CustomerID]float64
@@ -36,12 +36,12 @@
 	knownAt time.Duration
 }
 
-// NewMeter returns a meter. Without a Period there is none, and it reads nothing.
+// NewMeter returns a meter. A meter without a Period records nothing and has no readings.
 func NewMeter(spec emulator.Meter, random *rand.Rand) *Meter {
 	return &Meter{spec: spec, random: random, current: usageByCustomer{}}
 }
 
-// Record adds to a customer's use.
+// Record adds units to a customer's usage.
 func (m *Meter) Record(now time.Duration, customer policy.CustomerID, units float64) {
 	if m.spec.Period <= 0 {
 		return
@@ -50,9 +50,9 @@
 	m.current[customer] += units
 }
 
-// Reading returns a customer's use in the last period that is known, as a share of what its rate, in units a second,
-// allows in a period, in whole percent. It returns false if there is nothing to tell: no meter, no period known yet,
-// no rate, or the meter is silent.
+// Reading returns a customer's usage in the last known period, as a share of what the rate (units a second) allows in
+// a period, rounded to whole percent. It returns false if there is no reading: the meter has no Period or is silent,
+// no period is known yet, or the rate is 0.
 func (m *Meter) Reading(now time.Duration, customer policy.CustomerID, rate float64) (share float64, ok bool) {
 	if m.spec.Period <= 0 {
 		return 0, false
@@ -62,23 +62,23 @@
 		return 0, false
 	}
 	share = m.known[customer] / (rate * m.spec.Period.Of().Seconds())
-	return math.Round(share*usageStepsPerQuota) / usageStepsPerQuota, true
+	return math.Round(share*readingStepsPerQuota) / readingStepsPerQuota, true
 }
 
-// SetSilent makes answers carry no usage. The meter goes on counting.
+// SetSilent turns readings off or on. A silent meter still records usage.
 func (m *Meter) SetSilent(silent bool) { m.silent = silent }
 
-// advance finishes periods that are over and takes over those that have become known.
+// advance closes the periods that have ended and adopts the sums of the latest period that has become known.
 func (m *Meter) advance(now time.Duration) {
 	period := m.spec.Period.Of()
 	if !m.started {
 		m.started = true
-		m.end = now - now%period + period
+		m.periodEnd = now - now%period + period
 	}
-	for m.end <= now {
-		m.pending = append(m.pending, meterPeriod{usage: m.current, knownAt: m.end + m.drawDelay()})
+	for m.periodEnd <= now {
+		m.pending = append(m.pending, meterPeriod{usage: m.current, knownAt: m.periodEnd + m.drawDelay()})
 		m.current = usageByCustomer{}
-		m.end += period
+		m.periodEnd += period
 	}
 	for index := len(m.pending) - 1; index >= 0; index-- {
 		if m.pending[index].knownAt <= now {
--- a/internal/emulator/model/usage_test.go
+++ b/internal/emulator/model/usage_test.go
@@ -12,7 +12,7 @@
 	"springfield/policy"
 )
 
-func TestMeterTellsTheLastKnownPeriod(t *testing.T) {
+func TestMeterReportsTheLastKnownPeriod(t *testing.T) {
 	meter := NewMeter(emulator.Meter{
 		Period:   emulator.Duration(time.Second),
 		DelayMin: emulator.Duration(300 * time.Millisecond),
@@ -38,19 +38,19 @@
 	} {
 		share, ok := meter.Reading(begin+test.after, test.customer, test.rate)
 		if share != test.share || ok != test.ok {
-			t.Errorf("%+v: read %v, %v", test, share, ok)
+			t.Errorf("%+v: reading %v, %v", test, share, ok)
 		}
 	}
 	meter.SetSilent(true)
 	if _, ok := meter.Reading(begin+4*time.Second, 1, 4); ok {
-		t.Error("a silent meter has told something")
+		t.Error("a silent meter has a reading")
 	}
 	if _, ok := NewMeter(emulator.Meter{}, nil).Reading(begin, 1, 4); ok {
-		t.Error("a meter without a period has told something")
+		t.Error("a meter without a period has a reading")
 	}
 }
 
-func TestMeterDelaysAreWithinTheirBounds(t *testing.T) {
+func TestMeterDelaysAreWithinBounds(t *testing.T) {
 	meter := NewMeter(emulator.Meter{
 		Period:   emulator.Duration(time.Second),
 		DelayMin: emulator.Duration(100 * time.Millisecond),
@@ -71,15 +71,15 @@
 	}
 	for after := range changes {
 		if after < 100*time.Millisecond || after > 500*time.Millisecond {
-			t.Errorf("a period was known after %v", after)
+			t.Errorf("a period became known after %v, want 100ms to 500ms", after)
 		}
 	}
-	if len(changes) < 30 { // of 41 steps
-		t.Errorf("delays take %d values, want about 40", len(changes))
+	if len(changes) < 30 { // the delays fall on 41 steps of 10 ms
+		t.Errorf("delays take %d different values, want about 40", len(changes))
 	}
 }
 
-func TestLedgerKeepsQuotas(t *testing.T) {
+func TestLedgerTracksQuotas(t *testing.T) {
 	ledger := NewLedger([]emulator.Plan{{Rate: 2, Burst: 5}, {MaxConcurrent: 1}})
 	now := 1000 * time.Second
 	taken := []bool{ledger.Take(now, 1, 0, 4), ledger.Take(now, 1, 0, 2), ledger.Take(now, 1, 0, 1)}
@@ -88,46 +88,46 @@
 	}
 	ledger.Settle(1, 0, 3)
 	if left := ledger.Left(now+time.Second, 1, 0); left != -1 {
-		t.Errorf("%v left after settling, want -1", left)
+		t.Errorf("%v units left after a settlement, want -1", left)
 	}
 	ledger.Settle(1, 0, -100)
 	if left := ledger.Left(now+time.Second, 1, 0); left != 5 {
-		t.Errorf("%v left after giving back, want the burst", left)
+		t.Errorf("%v units left after a refund, want the burst, 5", left)
 	}
 	if left := ledger.Left(now, 2, 0); left != 5 {
-		t.Errorf("%v left of another customer, want the burst", left)
+		t.Errorf("%v units left of another customer, want the burst, 5", left)
 	}
 
 	ledger.BeginAttempt(3, 1)
 	if ledger.Take(now, 3, 1, 1) || !math.IsInf(ledger.Left(now, 3, 1), 1) {
-		t.Error("more attempts in flight than the plan allows, or a quota without a rate")
+		t.Error("the request exceeds MaxConcurrent but is within the quota, or a plan without a rate has a finite quota")
 	}
 	ledger.EndAttempt(3, 1)
 	if !ledger.Take(now, 3, 1, 1) {
-		t.Error("beyond the quota without attempts in flight")
+		t.Error("the request is over quota although no attempt is in flight")
 	}
 }
 
-func TestLedgerTellsBrokenCeilings(t *testing.T) {
+func TestLedgerReportsCeilingsBrokenBeyondTheSlack(t *testing.T) {
 	ledger := NewLedger([]emulator.Plan{{Rate: 1, Burst: 1, CeilingRate: 1, CeilingBurst: 4, CeilingSlack: 1}})
 	now := 1000 * time.Second
 	for _, customer := range []policy.CustomerID{8, 5} {
 		for range 5 {
-			ledger.Take(now, customer, 0, 1) // down to the slack
+			ledger.Take(now, customer, 0, 1) // uses up the burst and the slack
 		}
 	}
 	if broken := ledger.CeilingBroken(); len(broken) != 0 {
-		t.Errorf("%v broken within the slack", broken)
+		t.Errorf("ceilings of %v are broken within the slack, want none", broken)
 	}
 	for _, customer := range []policy.CustomerID{8, 5, 8} {
 		ledger.Take(now, customer, 0, 0.5)
 	}
 	if broken := ledger.CeilingBroken(); !slices.Equal(broken, []policy.CustomerID{8, 5}) {
-		t.Errorf("%v broken, want 8 and 5", broken)
+		t.Errorf("ceilings of %v are broken, want those of 8 and 5", broken)
 	}
 }
 
-func TestNetworkDelayHasItsMean(t *testing.T) {
+func TestNetworkDelayHasTheConfiguredMean(t *testing.T) {
 	spec := emulator.Network{Delay: emulator.Duration(2 * time.Millisecond), Jitter: 0.5}
 	network := NewNetwork(spec, rand.New(rand.NewPCG(1, 2)))
 	const count = 100_000
@@ -135,7 +135,7 @@
 	for range count {
 		delay := network.Delay()
 		if delay < time.Millisecond {
-			t.Fatalf("a delay of %v under the fixed part", delay)
+			t.Fatalf("delay %v is below the fixed part of 1ms", delay)
 		}
 		sum += delay
 	}
@@ -148,7 +148,7 @@
 	}
 }
 
-// counterTest records the results of calls in the order in which they come.
+// counterTest is a counter that records the results of its calls in the order in which they arrive.
 type counterTest struct {
 	*Counter
 	scheduler *emulator.VirtualScheduler
@@ -165,7 +165,7 @@
 	c.Add(name, amount, life, func(result CounterResult) { c.results = append(c.results, result) })
 }
 
-// expect lets some time pass and compares the results that have come.
+// expect advances the time and compares the results that have arrived since the last check.
 func (c *counterTest) expect(t *testing.T, after time.Duration, want ...CounterResult) {
 	t.Helper()
 	c.scheduler.RunUntil(c.scheduler.Now() + after)
@@ -177,7 +177,7 @@
 
 func counterTestTotal(total float64) CounterResult { return CounterResult{CounterAdded, total} }
 
-func TestCounterAddsAndForgets(t *testing.T) {
+func TestCounterAddsAndExpires(t *testing.T) {
 	c := newCounterTest(CounterSpec{Latency: time.Millisecond})
 	c.call("a", 2.5, 4*time.Second)
 	c.call("a", -1, time.Hour)
@@ -186,11 +186,11 @@
 	c.expect(t, time.Millisecond, counterTestTotal(2.5), counterTestTotal(1.5), counterTestTotal(1.234568))
 	c.call("a", 0, time.Hour)
 	c.expect(t, 3998*time.Millisecond, counterTestTotal(1.5))
-	c.expect(t, time.Millisecond) // a's life is over
+	c.expect(t, time.Millisecond) // the TTL of a has passed
 	c.call("a", 7, time.Second)
 	c.call("b", 0, time.Second)
 	c.expect(t, time.Millisecond, counterTestTotal(7), counterTestTotal(1.234568))
-	c.expect(t, time.Minute) // b's too: it is cut to a minute
+	c.expect(t, time.Minute) // the TTL of b, which is capped at a minute, has passed
 	c.call("b", 0, time.Second)
 	c.expect(t, time.Millisecond, counterTestTotal(0))
 
@@ -203,10 +203,10 @@
 	c.expect(t, time.Millisecond, invalid, invalid, invalid, invalid, invalid)
 }
 
-func TestCounterServesCallsInTurn(t *testing.T) {
+func TestCounterQueuesCallsAndRejectsLongWaits(t *testing.T) {
 	c := newCounterTest(CounterSpec{CallsPerSecond: 10, MaxWait: 150 * time.Millisecond})
 	c.SetSlowdown(2)
-	for range 3 { // at 200 ms each, the third one would begin after 400 ms
+	for range 3 { // each call takes 200 ms, so that the second and third would wait longer than MaxWait
 		c.call("a", 1, time.Second)
 	}
 	c.SetSlowdown(1)
@@ -218,8 +218,8 @@
 	c.expect(t, 100*time.Millisecond, counterTestTotal(3))
 }
 
-func TestCounterStopsAndIsFlushed(t *testing.T) {
-	c := newCounterTest(CounterSpec{CallsPerSecond: 1000, Parts: 3, Latency: time.Millisecond})
+func TestCounterLosesCallsWhenStoppedAndTotalsWhenFlushed(t *testing.T) {
+	c := newCounterTest(CounterSpec{CallsPerSecond: 1000, Shards: 3, Latency: time.Millisecond})
 	c.call("a", 1, time.Minute)
 	c.expect(t, time.Second, counterTestTotal(1))
 	c.call("a", 1, time.Minute)
@@ -228,7 +228,7 @@
 	c.SetState(CounterUp)
 	c.expect(t, time.Second)
 	c.call("a", 0, time.Minute)
-	c.expect(t, 3500*time.Microsecond) // its turn is over, its answer on the way
+	c.expect(t, 3500*time.Microsecond) // the call has been served and its answer is due later
 	c.SetState(CounterSilent)
 	c.SetState(CounterUp)
 	c.expect(t, time.Second)
