--- a/internal/emulator/virtual/world_test.go
+++ b/internal/emulator/virtual/world_test.go
@@ -148,7 +148,7 @@
 // The dial of an endpoint behind a partition must fail after the dial timeout, and nothing may count as sent.
 func TestDialOfPartitionedEndpointTimesOut(t *testing.T) {
 	w := newTestWorld(nil, nil)
-	faultTarget{w.world}.CutEndpoint(1, true)
+	faultTarget{w.world}.PartitionEndpoint(1, true)
 	w.submitAt(0, nil)
 	w.after(time.Second)
 	if !slices.Equal(w.statuses(), []policy.Status{policy.StatusConnectFailed}) ||
@@ -237,7 +237,7 @@
 // The gateway cannot parse a spoilt answer, so the attempt must end as if its connection had been reset.
 func TestSpoiltAnswerCountsAsReset(t *testing.T) {
 	w := newTestWorld(nil, nil)
-	faultTarget{w.world}.SpoilAnswers(1)
+	faultTarget{w.world}.CorruptResponses(1)
 	w.submitAt(0, nil)
 	w.after(time.Second)
 	if !slices.Equal(w.statuses(), []policy.Status{policy.StatusReset}) {
