--- a/internal/emulator/loopback/faults.go
+++ b/internal/emulator/loopback/faults.go
@@ -66,13 +66,13 @@
 	t.w.endpoint(id).server.SetSilent(silent)
 }
 
-// CutEndpoint implements model.FaultTarget.
+// PartitionEndpoint implements model.FaultTarget.
 func (t faultTarget) PartitionEndpoint(id policy.EndpointID, cut bool) {
 	t.w.endpoint(id).partitions += partitionChange(cut)
 	t.w.resetAfterPartition()
 }
 
-// CutZone implements model.FaultTarget.
+// PartitionZone implements model.FaultTarget.
 func (t faultTarget) PartitionZone(zone int, cut bool) {
 	if zone < len(t.w.zonePartitions) {
 		t.w.zonePartitions[zone] += partitionChange(cut)
--- a/internal/emulator/virtual/faults.go
+++ b/internal/emulator/virtual/faults.go
@@ -69,12 +69,12 @@
 	t.w.endpoint(id).server.SetSilent(silent)
 }
 
-// CutEndpoint implements model.FaultTarget.
+// PartitionEndpoint implements model.FaultTarget.
 func (t faultTarget) PartitionEndpoint(id policy.EndpointID, cut bool) {
 	t.w.endpoint(id).partitions += partitionChange(cut)
 }
 
-// CutZone implements model.FaultTarget.
+// PartitionZone implements model.FaultTarget.
 func (t faultTarget) PartitionZone(zone int, cut bool) {
 	if zone < len(t.w.partitionsByZone) {
 		t.w.partitionsByZone[zone] += partitionChange(cut)
