--- a/cmd/springfield/cli.go
+++ b/cmd/springfield/cli.go
@@ -90,9 +90,9 @@
 // parse returns nil without an error if the command line asks for help, which it has shown.
 func parse(parser *kong.Kong, arguments []string) (parsed *kong.Context, err error) {
 	defer func() {
-		if cause := recover(); cause != nil {
-			if _, ok := cause.(exitRequest); !ok {
-				panic(cause)
+		if recovered := recover(); recovered != nil {
+			if _, ok := recovered.(exitRequest); !ok {
+				panic(recovered)
 			}
 			parsed, err = nil, nil
 		}
@@ -104,10 +104,10 @@
 	if err == nil {
 		return parsed, nil
 	}
-	help := programName
-	var failure *kong.ParseError
-	if errors.As(err, &failure) && failure.Context != nil && failure.Context.Selected() != nil {
-		help = failure.Context.Selected().FullPath()
+	helpCommand := programName
+	var parseErr *kong.ParseError
+	if errors.As(err, &parseErr) && parseErr.Context != nil && parseErr.Context.Selected() != nil {
+		helpCommand = parseErr.Context.Selected().FullPath()
 	}
-	return nil, &inputError{fmt.Errorf("%w (see %s --help)", err, help)}
+	return nil, &inputError{fmt.Errorf("%w (see %s --help)", err, helpCommand)}
 }
--- a/cmd/springfield/completion/bash.go
+++ b/cmd/springfield/completion/bash.go
@@ -5,7 +5,7 @@
 // writeBash writes a function that finds the command among the words before the cursor, and then offers what may
 // follow there.
 func writeBash(s *script, root *command) {
-	name := function(root.name, nil)
+	name := functionName(root.name, nil)
 	s.line("# bash completion for %s", root.name)
 	s.line("")
 	s.line("%s_words() { mapfile -t COMPREPLY < <(compgen -W \"$1\" -- \"$current\"); }", name)
@@ -15,7 +15,7 @@
 	s.line("    mapfile -t COMPREPLY < <(compgen \"$1\" -- \"$current\")")
 	s.line("}")
 	s.line("")
-	writeBashWalk(s, root, name)
+	writeBashCommandFinder(s, root, name)
 	s.line("%s() {", name)
 	s.line("    local current=${COMP_WORDS[COMP_CWORD]} previous=${COMP_WORDS[COMP_CWORD - 1]} command")
 	s.line("    COMPREPLY=()")
@@ -32,13 +32,13 @@
 	s.line("complete -F %s %s", name, root.name)
 }
 
-// writeBashWalk writes a function that prints the command that words lead to.
-func writeBashWalk(s *script, root *command, name string) {
+// writeBashCommandFinder writes a function that prints the command that words lead to.
+func writeBashCommandFinder(s *script, root *command, name string) {
 	s.line("%s_command() {", name)
 	s.line("    local command= word")
 	s.line("    for word; do")
 	s.line("        case \"$command $word\" in")
-	root.each(func(c *command) {
+	root.walk(func(c *command) {
 		if len(c.path) > 0 {
 			parent := strings.Join(c.path[:len(c.path)-1], " ")
 			s.line("        %s) command=%s ;;", quote(parent+" "+c.name), quote(c.pathText()))
@@ -54,15 +54,15 @@
 // writeBashFlagValues offers the values of the flag before the cursor.
 func writeBashFlagValues(s *script, root *command, name string) {
 	s.line("    case \"$command $previous\" in")
-	root.each(func(c *command) {
+	root.walk(func(c *command) {
 		for i := range c.flags {
 			f := &c.flags[i]
 			if f.bool {
 				continue
 			}
-			patterns := f.forms()
-			for j, form := range patterns {
-				patterns[j] = quote(c.pathText() + " " + form)
+			patterns := f.spellings()
+			for j, spelling := range patterns {
+				patterns[j] = quote(c.pathText() + " " + spelling)
 			}
 			s.line("    %s)", strings.Join(patterns, " | "))
 			writeBashValue(s, &f.value, name)
@@ -76,12 +76,12 @@
 // writeBashCommands offers flags, commands and arguments.
 func writeBashCommands(s *script, root *command, name string) {
 	s.line("    case \"$command\" in")
-	root.each(func(c *command) {
+	root.walk(func(c *command) {
 		s.line("    %s)", quote(c.pathText()))
 		s.line("        if [[ $current == -* ]]; then")
 		var flags []string
 		for i := range c.flags {
-			flags = append(flags, c.flags[i].forms()...)
+			flags = append(flags, c.flags[i].spellings()...)
 		}
 		s.line("            %s_words %s", name, quote(strings.Join(flags, " ")))
 		s.line("            return")
--- a/cmd/springfield/completion/completion.go
+++ b/cmd/springfield/completion/completion.go
@@ -73,63 +73,63 @@
 )
 
 func newCommand(node *kong.Node, path []string) *command {
-	made := &command{name: node.Name, path: path, help: node.Help}
+	result := &command{name: node.Name, path: path, help: node.Help}
 	for _, group := range node.AllFlags(true) {
-		for _, modelled := range group {
-			made.flags = append(made.flags, newFlag(modelled))
+		for _, kongFlag := range group {
+			result.flags = append(result.flags, newFlag(kongFlag))
 		}
 	}
 	for _, argument := range node.Positional {
-		made.arguments = append(made.arguments, newValue(argument))
+		result.arguments = append(result.arguments, newValue(argument))
 	}
 	for _, child := range node.Children {
 		if child.Type == kong.CommandNode && !child.Hidden {
 			childPath := append(append([]string{}, path...), child.Name)
-			made.children = append(made.children, newCommand(child, childPath))
+			result.children = append(result.children, newCommand(child, childPath))
 		}
 	}
-	return made
+	return result
 }
 
-func newFlag(modelled *kong.Flag) flag {
-	made := flag{name: modelled.Name, help: modelled.Help, value: newValue(modelled.Value), bool: modelled.IsBool()}
-	if modelled.Short != 0 {
-		made.short = string(modelled.Short)
+func newFlag(kongFlag *kong.Flag) flag {
+	result := flag{name: kongFlag.Name, help: kongFlag.Help, value: newValue(kongFlag.Value), bool: kongFlag.IsBool()}
+	if kongFlag.Short != 0 {
+		result.short = string(kongFlag.Short)
 	}
-	return made
+	return result
 }
 
-func newValue(modelled *kong.Value) value {
-	made := value{name: modelled.Name, repeats: modelled.IsCumulative()}
-	if modelled.Enum != "" {
-		made.choices = modelled.EnumSlice()
+func newValue(kongValue *kong.Value) value {
+	result := value{name: kongValue.Name, repeats: kongValue.IsCumulative()}
+	if kongValue.Enum != "" {
+		result.choices = kongValue.EnumSlice()
 	}
-	switch modelled.Tag.Type {
+	switch kongValue.Tag.Type {
 	case "existingfile", "path", "filecontent":
-		made.files = anyFiles
+		result.files = anyFiles
 	case "existingdir":
-		made.files = directories
+		result.files = directories
 	}
-	return made
+	return result
 }
 
-// forms returns the flag as it may be written: --name and, if there is one, -n.
-func (f *flag) forms() []string {
-	forms := []string{"--" + f.name}
+// spellings returns the flag as it may be written: --name and, if there is one, -n.
+func (f *flag) spellings() []string {
+	spellings := []string{"--" + f.name}
 	if f.short != "" {
-		forms = append(forms, "-"+f.short)
+		spellings = append(spellings, "-"+f.short)
 	}
-	return forms
+	return spellings
 }
 
 // pathText returns the path as words.
 func (c *command) pathText() string { return strings.Join(c.path, " ") }
 
-// each calls a function for the command and all commands within.
-func (c *command) each(visit func(*command)) {
+// walk calls a function for the command and all commands within.
+func (c *command) walk(visit func(*command)) {
 	visit(c)
 	for _, child := range c.children {
-		child.each(visit)
+		child.walk(visit)
 	}
 }
 
@@ -151,8 +151,8 @@
 // quote returns a text as a word in single quotes, as bash and zsh read it.
 func quote(text string) string { return "'" + strings.ReplaceAll(text, "'", `'\''`) + "'" }
 
-// function returns a name for a shell function.
-func function(program string, path []string) string {
+// functionName returns a name for a shell functionName.
+func functionName(program string, path []string) string {
 	name := "_" + strings.Join(append([]string{program}, path...), "_")
 	return strings.Map(func(r rune) rune {
 		if r == '-' || r == '.' || r == ' ' {
--- a/cmd/springfield/completion/fish.go
+++ b/cmd/springfield/completion/fish.go
@@ -5,36 +5,36 @@
 // writeFish writes a function that finds the command among the words before the cursor, and a rule for each command,
 // flag and argument that applies where that command stands.
 func writeFish(s *script, root *command) {
-	at := "_" + function(root.name, []string{"at"})
+	testFunction := "_" + functionName(root.name, []string{"at"})
 	s.line("# fish completion for %s", root.name)
 	s.line("")
-	writeFishWalk(s, root, at)
+	writeFishCommandTest(s, root, testFunction)
 	s.line("complete -c %s -f", root.name)
-	root.each(func(c *command) {
-		rule := "complete -c " + root.name + " -n " + fishQuote(at+" "+fishQuote(c.pathText()))
+	root.walk(func(c *command) {
+		completeCommand := "complete -c " + root.name + " -n " + fishQuote(testFunction+" "+fishQuote(c.pathText()))
 		for _, child := range c.children {
-			s.line("%s -a %s -d %s", rule, fishQuote(child.name), fishQuote(child.help))
+			s.line("%s -a %s -d %s", completeCommand, fishQuote(child.name), fishQuote(child.help))
 		}
 		for i := range c.flags {
-			s.line("%s%s", rule, fishFlag(&c.flags[i]))
+			s.line("%s%s", completeCommand, fishFlagOptions(&c.flags[i]))
 		}
 		if len(c.arguments) > 0 {
-			if values := fishValue(&c.arguments[0]); values != "" {
-				s.line("%s%s", rule, values)
+			if valueOptions := fishValueOptions(&c.arguments[0]); valueOptions != "" {
+				s.line("%s%s", completeCommand, valueOptions)
 			}
 		}
 	})
 }
 
-// writeFishWalk writes a function that tells whether the words before the cursor lead to a command.
-func writeFishWalk(s *script, root *command, at string) {
+// writeFishCommandTest writes a function that tells whether the words before the cursor lead to a command.
+func writeFishCommandTest(s *script, root *command, testFunction string) {
 	var paths []string
-	root.each(func(c *command) {
+	root.walk(func(c *command) {
 		if len(c.path) > 0 {
 			paths = append(paths, fishQuote(c.pathText()))
 		}
 	})
-	s.line("function %s", at)
+	s.line("function %s", testFunction)
 	s.line("    set -l path")
 	s.line("    for word in (commandline -opc)[2..-1]")
 	s.line("        set -l longer (string trim -- \"$path $word\")")
@@ -47,24 +47,24 @@
 	s.line("")
 }
 
-// fishFlag returns the options of complete for a flag.
-func fishFlag(f *flag) string {
-	text := " -l " + f.name
+// fishFlagOptions returns the options of complete for a flag.
+func fishFlagOptions(f *flag) string {
+	options := " -l " + f.name
 	if f.short != "" {
-		text += " -s " + f.short
+		options += " -s " + f.short
 	}
 	switch {
 	case f.bool:
 	case f.value.files == anyFiles:
-		text += " -r" + fishValue(&f.value)
+		options += " -r" + fishValueOptions(&f.value)
 	default: // no files
-		text += " -x" + fishValue(&f.value)
+		options += " -x" + fishValueOptions(&f.value)
 	}
-	return text + " -d " + fishQuote(f.help)
+	return options + " -d " + fishQuote(f.help)
 }
 
-// fishValue returns the options of complete that offer values.
-func fishValue(v *value) string {
+// fishValueOptions returns the options of complete that offer values.
+func fishValueOptions(v *value) string {
 	switch {
 	case len(v.choices) > 0:
 		return " -a " + fishQuote(strings.Join(v.choices, " "))
--- a/cmd/springfield/completion/zsh.go
+++ b/cmd/springfield/completion/zsh.go
@@ -9,8 +9,8 @@
 func writeZsh(s *script, root *command) {
 	s.line("#compdef %s", root.name)
 	s.line("")
-	root.each(func(c *command) {
-		s.line("%s() {", function(root.name, c.path))
+	root.walk(func(c *command) {
+		s.line("%s() {", functionName(root.name, c.path))
 		if len(c.children) > 0 {
 			writeZshParent(s, root.name, c)
 		} else {
@@ -19,7 +19,7 @@
 		s.line("}")
 		s.line("")
 	})
-	name := function(root.name, nil)
+	name := functionName(root.name, nil)
 	s.line("if [[ $funcstack[1] == %s ]]; then", name)
 	s.line("    %s \"$@\"", name)
 	s.line("else")
@@ -37,7 +37,7 @@
 	s.line("    )")
 	s.line("    _arguments -C \\")
 	for i := range c.flags {
-		s.line("        %s \\", zshFlag(&c.flags[i]))
+		s.line("        %s \\", zshFlagSpec(&c.flags[i]))
 	}
 	s.line("        '1: :->command' \\")
 	s.line("        '*:: :->words'")
@@ -46,7 +46,7 @@
 	s.line("    words)")
 	s.line("        case $line[1] in")
 	for _, child := range c.children {
-		s.line("        %s) %s ;;", child.name, function(program, child.path))
+		s.line("        %s) %s ;;", child.name, functionName(program, child.path))
 	}
 	s.line("        esac")
 	s.line("        ;;")
@@ -56,23 +56,23 @@
 func writeZshLeaf(s *script, c *command) {
 	specs := make([]string, 0, len(c.flags)+len(c.arguments))
 	for i := range c.flags {
-		specs = append(specs, zshFlag(&c.flags[i]))
+		specs = append(specs, zshFlagSpec(&c.flags[i]))
 	}
 	for i := range c.arguments {
 		position := fmt.Sprint(i + 1)
 		if c.arguments[i].repeats {
 			position = "*"
 		}
-		specs = append(specs, quote(position+":"+zshValue(&c.arguments[i])))
+		specs = append(specs, quote(position+":"+zshValueSpec(&c.arguments[i])))
 	}
 	s.line("    _arguments %s", strings.Join(specs, " \\\n        "))
 }
 
-// zshFlag returns the specification of a flag for _arguments.
-func zshFlag(f *flag) string {
+// zshFlagSpec returns the specification of a flag for _arguments.
+func zshFlagSpec(f *flag) string {
 	text := "[" + strings.NewReplacer("[", `\[`, "]", `\]`).Replace(f.help) + "]"
 	if !f.bool {
-		text += ":" + zshValue(&f.value)
+		text += ":" + zshValueSpec(&f.value)
 	}
 	long := "--" + f.name
 	if !f.bool {
@@ -85,8 +85,8 @@
 	return quote(fmt.Sprintf("(%s --%s)", short, f.name)) + "{" + quote(short) + "," + quote(long) + "}" + quote(text)
 }
 
-// zshValue returns the message and the action of a specification.
-func zshValue(v *value) string {
+// zshValueSpec returns the message and the action of a specification.
+func zshValueSpec(v *value) string {
 	message := escapeColons(v.name) + ":"
 	switch {
 	case len(v.choices) > 0:
--- a/cmd/springfield/completion_test.go
+++ b/cmd/springfield/completion_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestZshAndFishScriptsHoldTheWholeModel(t *testing.T) {
+func TestZshAndFishScriptsCoverCommandsFlagsAndValues(t *testing.T) {
 	for shell, wanted := range map[string][]string{
 		"zsh": {"#compdef springfield", "_springfield_experiment_run()", "'run:Run experiment files",
 			"'1:shell:(bash zsh fish)'", "'--format=[Format of the plots: svg,png.]:format:(svg png)'", "'*:files:_files'",
--- a/cmd/springfield/demo.go
+++ b/cmd/springfield/demo.go
@@ -17,12 +17,12 @@
 const (
 	demoName = "demo"
 
-	// demoLimit ends a demo that takes longer than it should.
-	demoLimit = 40 * time.Second
+	// demoTimeout ends a demo that takes longer than it should.
+	demoTimeout = 40 * time.Second
 
-	// faultBegin and faultLength place the demo's fault in its load.
-	faultBegin  = 0.3
-	faultLength = 0.2
+	// faultBeginShare and faultLength place the demo's fault in its load.
+	faultBeginShare  = 0.3
+	faultLengthShare = 0.2
 
 	maxDemoLength = 20 * time.Second
 	minDemoLength = time.Second
@@ -34,7 +34,7 @@
 	resultsFile = "results.jsonl"
 )
 
-var errDemoTooLong = fmt.Errorf("it took over %v", demoLimit)
+var errDemoTimeout = fmt.Errorf("it took over %v", demoTimeout)
 
 type demoCommand struct {
 	Output  string        `short:"o" type:"path" placeholder:"DIR" help:"Directory for a report, results and logs."`
@@ -59,13 +59,13 @@
 	if c.Length < minDemoLength || c.Length > maxDemoLength {
 		return inputErrorf("--length is %v, want %v to %v", c.Length, minDemoLength, maxDemoLength)
 	}
-	ctx, cancel := context.WithTimeoutCause(ctx, demoLimit, errDemoTooLong)
+	ctx, cancel := context.WithTimeoutCause(ctx, demoTimeout, errDemoTimeout)
 	defer cancel()
 	program, arguments, err := gatewayProgram(c.Gateway)
 	if err != nil {
 		return err
 	}
-	directory, remove, err := outputDirectory(c.Output)
+	directory, remove, err := prepareOutputDirectory(c.Output)
 	if err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 	if record == nil {
 		return err
 	}
-	return errors.Join(err, writeRecord(env.stdout, record), c.writeFiles(env, record), brokenRules(record))
+	return errors.Join(err, writeRecordSummary(env.stdout, record), c.writeFiles(env, record), brokenRulesError(record))
 }
 
 // demoScenario is the default deployment with an endpoint that crashes and starts again.
@@ -86,15 +86,15 @@
 	scenario.Length = emulator.Duration(length)
 	scenario.Faults = []emulator.Fault{{
 		Kind:   emulator.FaultStopEndpoints,
-		At:     emulator.Duration(faultBegin * float64(length)),
-		Length: emulator.Duration(faultLength * float64(length)),
+		At:     emulator.Duration(faultBeginShare * float64(length)),
+		Length: emulator.Duration(faultLengthShare * float64(length)),
 		Share:  1 / float64(scenario.Endpoints.Count),
 	}}
 	return scenario
 }
 
-// outputDirectory makes the directory, or a temporary one that the function removes.
-func outputDirectory(path string) (directory string, remove func(), err error) {
+// prepareOutputDirectory makes the directory, or a temporary one that the function removes.
+func prepareOutputDirectory(path string) (directory string, remove func(), err error) {
 	if path != "" {
 		if err := os.MkdirAll(path, directoryMode); err != nil {
 			return "", nil, &inputError{err}
@@ -110,13 +110,13 @@
 	if c.Output == "" {
 		return nil
 	}
-	page := filepath.Join(c.Output, reportFile)
-	if err := writePage(page, []report.Named{{Name: demoName, Result: record.Result}}); err != nil {
+	pagePath := filepath.Join(c.Output, reportFile)
+	if err := writePage(pagePath, []report.Named{{Name: demoName, Result: record.Result}}); err != nil {
 		return err
 	}
 	if err := writeResults(filepath.Join(c.Output, resultsFile), []experiment.Record{*record}); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(env.stdout, "report: %s\n", page)
+	_, err := fmt.Fprintf(env.stdout, "report: %s\n", pagePath)
 	return err
 }
--- a/cmd/springfield/demo_test.go
+++ b/cmd/springfield/demo_test.go
@@ -16,7 +16,7 @@
 )
 
 // The gateways of the demo are processes of the test binary, as those of "go run" are of the program.
-func TestDemoServesAndKeepsTheRules(t *testing.T) {
+func TestDemoServesRequestsAndKeepsTheRules(t *testing.T) {
 	directory := filepath.Join(t.TempDir(), "out")
 	got := expect(t, statusSuccess, "demo", "--length", "2s", "--output", directory)
 	wantText(t, got.stdout, "served", "rejected", "failed", "p50", "p99", "over quota", "plan basic", "class search",
@@ -39,33 +39,33 @@
 	wantText(t, got.stdout, page+": 1 result")
 }
 
-// cancelling ends a run once some requests were served.
-type cancelling struct {
+// cancellingObserver ends a run once some requests were served.
+type cancellingObserver struct {
 	cancel func()
 	served int
 }
 
-func (c *cancelling) Observe(_ time.Duration, observation emulator.Observation) {
-	const enough = 20
+func (c *cancellingObserver) Observe(_ time.Duration, observation emulator.Observation) {
+	const servedBeforeCancel = 20
 	if answered, ok := observation.(emulator.RequestAnswered); ok && answered.Answer == emulator.AnswerServed {
 		c.served++
 	}
-	if c.served == enough {
+	if c.served == servedBeforeCancel {
 		c.cancel()
 	}
 }
 
-func TestInterruptedRunKeepsWhatItMeasured(t *testing.T) {
+func TestInterruptedRunReturnsItsMeasurement(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	program, arguments, err := gatewayProgram("")
 	if err != nil {
 		t.Fatal(err)
 	}
 	interrupted := deployment{name: "test", scenario: demoScenario(maxDemoLength), gateway: program,
-		gatewayArgs: arguments, directory: t.TempDir(), observer: &cancelling{cancel: cancel}}
+		gatewayArgs: arguments, directory: t.TempDir(), observer: &cancellingObserver{cancel: cancel}}
 	record, err := interrupted.run(ctx, io.Discard)
-	var early *interruptedError
-	if !errors.As(err, &early) || !errors.Is(err, context.Canceled) {
+	var incomplete *incompleteRunError
+	if !errors.As(err, &incomplete) || !errors.Is(err, context.Canceled) {
 		t.Errorf("the error is %v, want an interrupt", err)
 	}
 	if record == nil || record.Result.Requests.Served.Count < 20 || !record.Rules.Kept() {
@@ -102,7 +102,7 @@
 	if !errors.As(err, &exit) || exit.ExitCode() != statusFailure {
 		t.Errorf("it ends with %v, want status %d", err, statusFailure)
 	}
-	if !isOneLine(stderr.String()) {
+	if !isErrorLine(stderr.String()) {
 		t.Errorf("standard error is %q, want one line", stderr.String())
 	}
 }
--- a/cmd/springfield/dependencies_test.go
+++ b/cmd/springfield/dependencies_test.go
@@ -25,7 +25,7 @@
 	"springfield/policy",
 }
 
-func TestGatewayLinksNothingOfTheLaboratory(t *testing.T) {
+func TestGatewayLinksNoLabPackages(t *testing.T) {
 	const format = "{{if not .Standard}}{{.ImportPath}}{{end}}"
 	list := exec.Command("go", "list", "-deps", "-f", format, "springfield/cmd/gateway")
 	output, err := list.Output()
--- a/cmd/springfield/deployment.go
+++ b/cmd/springfield/deployment.go
@@ -24,21 +24,21 @@
 	gateway     string // program of the gateways; "": they are started by hand
 	gatewayArgs []string
 	directory   string
-	started     func(loopback.Addresses) error // nil, or called before the load
+	onStarted   func(loopback.Addresses) error // nil, or called before the load
 	observer    emulator.Observer              // nil, or told of the run as the measurement is
 }
 
-// interruptedError is returned for a run that ended early. What was measured until then has been shown.
-type interruptedError struct{ cause error }
+// incompleteRunError is returned for a run that ended early. What was measured until then has been shown.
+type incompleteRunError struct{ cause error }
 
-func (e *interruptedError) Error() string {
+func (e *incompleteRunError) Error() string {
 	if errors.Is(e.cause, context.Canceled) {
 		return "interrupted: the figures end there, and requests that were open count as missing"
 	}
 	return fmt.Sprintf("the run ended early: %v", e.cause)
 }
 
-func (e *interruptedError) Unwrap() error { return e.cause }
+func (e *incompleteRunError) Unwrap() error { return e.cause }
 
 // run runs the deployment. The record is nil if nothing was measured; if there is a record and an error, the run ended
 // early.
@@ -47,9 +47,9 @@
 	if err != nil {
 		return nil, err
 	}
-	measured := newMeasurement(&d.scenario)
-	began := time.Now()
-	observers := emulator.Observers{measured}
+	runMeasurement := newMeasurement(&d.scenario)
+	startTime := time.Now()
+	observers := emulator.Observers{runMeasurement}
 	if d.observer != nil {
 		observers = append(observers, d.observer)
 	}
@@ -58,22 +58,22 @@
 		return nil, err
 	}
 	defer world.Close()
-	if d.started != nil {
-		if err := d.started(world.Addresses()); err != nil {
+	if d.onStarted != nil {
+		if err := d.onStarted(world.Addresses()); err != nil {
 			return nil, err
 		}
 	}
 	summary, err := d.drive(ctx, world, stderr)
-	result, rules, ok := measured.finish()
+	result, rules, ok := runMeasurement.finish()
 	if !ok {
 		return nil, fmt.Errorf("the run ended before its load began: %w", err)
 	}
 	record := &experiment.Record{Experiment: d.name, Version: version, Form: experiment.FormLoopback,
-		Decider: experiment.Springfield, Size: float64(d.scenario.Gateways), Seed: d.seed, Elapsed: time.Since(began),
+		Decider: experiment.Springfield, Size: float64(d.scenario.Gateways), Seed: d.seed, Elapsed: time.Since(startTime),
 		Result: result, Rules: rules}
 	switch {
 	case err != nil:
-		err = &interruptedError{cause: err}
+		err = &incompleteRunError{cause: err}
 	case summary.GatewayCrashes > 0:
 		err = fmt.Errorf("%s ended without being told to", plural(summary.GatewayCrashes, "gateway process"))
 	}
@@ -83,10 +83,10 @@
 // start starts the deployment. It ends with the context only until it has started: later an interrupt must not reset
 // the connections before the measurement is finished.
 func (d *deployment) start(ctx context.Context, observer emulator.Observer, stderr io.Writer) (*loopback.World, error) {
-	shown := newProgress(stderr)
-	shown.show("starting %s and %s", plural(d.scenario.Gateways, "gateway"),
+	line := newProgressLine(stderr)
+	line.show("starting %s and %s", plural(d.scenario.Gateways, "gateway"),
 		plural(d.scenario.Endpoints.Count, "endpoint"))
-	defer shown.clear()
+	defer line.clear()
 	worldCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() { cancel(context.Cause(ctx)) })
 	defer stop()
@@ -108,25 +108,25 @@
 
 // drive plays the load and shows how far it is.
 func (d *deployment) drive(ctx context.Context, world *loopback.World, stderr io.Writer) (loopback.Summary, error) {
-	shown := newProgress(stderr)
-	defer shown.clear()
-	driving, stop := context.WithCancel(ctx)
-	shownAll := make(chan struct{})
+	line := newProgressLine(stderr)
+	defer line.clear()
+	driveCtx, stop := context.WithCancel(ctx)
+	progressDone := make(chan struct{})
 	go func() {
-		defer close(shownAll)
+		defer close(progressDone)
 		ticker := time.NewTicker(progressInterval)
 		defer ticker.Stop()
 		for {
 			select {
-			case <-driving.Done():
+			case <-driveCtx.Done():
 				return
 			case <-ticker.C:
-				shown.show("%d requests sent, of a load of %v", world.Summary().Requests, d.scenario.Length.Of())
+				line.show("%d requests sent, of a load of %v", world.Summary().Requests, d.scenario.Length.Of())
 			}
 		}
 	}()
 	summary, err := world.Drive(ctx)
 	stop()
-	<-shownAll
+	<-progressDone
 	return summary, err
 }
--- a/cmd/springfield/emulate.go
+++ b/cmd/springfield/emulate.go
@@ -37,18 +37,18 @@
 	if err != nil {
 		return err
 	}
-	directory, remove, err := outputDirectory(c.Directory)
+	directory, remove, err := prepareOutputDirectory(c.Directory)
 	if err != nil {
 		return err
 	}
 	defer remove()
 	run := deployment{name: emulationName, scenario: scenario, seed: c.Seed, directory: directory,
-		started: func(addresses loopback.Addresses) error { return writeStartCommands(env, addresses) }}
+		onStarted: func(addresses loopback.Addresses) error { return writeStartCommands(env, addresses) }}
 	record, err := run.run(ctx, env.stderr)
 	if record == nil {
 		return err
 	}
-	errs := []error{err, writeRecord(env.stdout, record), brokenRules(record)}
+	errs := []error{err, writeRecordSummary(env.stdout, record), brokenRulesError(record)}
 	if c.Results != "" {
 		errs = append(errs, writeResults(c.Results, []experiment.Record{*record}))
 	}
--- a/cmd/springfield/experiment.go
+++ b/cmd/springfield/experiment.go
@@ -118,11 +118,11 @@
 
 func executeExperiment(ctx context.Context, env *environment, loaded *experiment.Experiment,
 	options experiment.Options) (experiment.Outcome, error) {
-	shown := newProgress(env.stderr)
-	defer shown.clear()
-	shown.show("%s: %s", loaded.Name, plural(len(loaded.Runs()), "run"))
+	line := newProgressLine(env.stderr)
+	defer line.clear()
+	line.show("%s: %s", loaded.Name, plural(len(loaded.Runs()), "run"))
 	options.Progress = func(p experiment.Progress) {
-		shown.show("%s: %d of %d runs, last %s, size %g, seed %d", loaded.Name, p.Done, p.Planned, p.Run.Decider,
+		line.show("%s: %d of %d runs, last %s, size %g, seed %d", loaded.Name, p.Done, p.Planned, p.Run.Decider,
 			p.Run.Size, p.Run.Seed)
 	}
 	outcome, err := experiment.Execute(ctx, loaded, options)
@@ -134,13 +134,13 @@
 
 // writeBrokenRules writes a line for each run that has broken a rule, and returns an error if there is one.
 func writeBrokenRules(env *environment, records []experiment.Record) error {
-	broken := 0
+	brokenRuns := 0
 	for i := range records {
 		record := &records[i]
 		if record.Rules.Kept() {
 			continue
 		}
-		broken++
+		brokenRuns++
 		var rules []string
 		for _, rule := range record.Rules.Violations {
 			rules = append(rules, fmt.Sprintf("%s (%d)", rule.Rule, rule.Count))
@@ -151,8 +151,8 @@
 			return err
 		}
 	}
-	if broken > 0 {
-		return fmt.Errorf("%w in %s", errRulesBroken, plural(broken, "run"))
+	if brokenRuns > 0 {
+		return fmt.Errorf("%w in %s", errRulesBroken, plural(brokenRuns, "run"))
 	}
 	return nil
 }
--- a/cmd/springfield/experiment_results.go
+++ b/cmd/springfield/experiment_results.go
@@ -54,26 +54,26 @@
 
 // parseSide parses DECIDER[@VERSION].
 func parseSide(flag, text string, records []experiment.Record) (experiment.Side, error) {
-	decider, version, versioned := strings.Cut(text, "@")
-	if decider == "" || versioned && version == "" {
+	decider, version, hasVersion := strings.Cut(text, "@")
+	if decider == "" || hasVersion && version == "" {
 		return experiment.Side{}, inputErrorf("%s is %q, want DECIDER or DECIDER@VERSION", flag, text)
 	}
-	if versioned {
+	if hasVersion {
 		return experiment.Side{Decider: decider, Version: version}, nil
 	}
 	versions := versionsOf(decider, records)
 	if len(versions) == 1 {
 		return experiment.Side{Decider: decider, Version: versions[0]}, nil
 	}
-	own, err := programVersion()
+	ownVersion, err := programVersion()
 	if err != nil {
 		return experiment.Side{}, err
 	}
-	if len(versions) > 1 && !slices.Contains(versions, own) {
+	if len(versions) > 1 && !slices.Contains(versions, ownVersion) {
 		return experiment.Side{}, inputErrorf("%s is %q without a version, and the store has %s", flag, text,
 			strings.Join(versions, ", "))
 	}
-	return experiment.Side{Decider: decider, Version: own}, nil
+	return experiment.Side{Decider: decider, Version: ownVersion}, nil
 }
 
 // versionsOf returns the versions of a decider's records, sorted.
@@ -124,16 +124,16 @@
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, store.Close()) }()
-	stored, err := store.Experiments()
+	storedNames, err := store.Experiments()
 	if err != nil {
 		return nil, fmt.Errorf("read %s: %w", path, err)
 	}
 	if len(names) == 0 {
-		names = stored
+		names = storedNames
 	}
 	for _, name := range names {
-		if !slices.Contains(stored, name) {
-			return nil, inputErrorf("%s has no results of experiment %q, only of %s", path, name, listed(stored))
+		if !slices.Contains(storedNames, name) {
+			return nil, inputErrorf("%s has no results of experiment %q, only of %s", path, name, joinNames(storedNames))
 		}
 		found, err := store.Records(name)
 		if err != nil {
@@ -144,8 +144,8 @@
 	return records, nil
 }
 
-// listed joins names, or tells that there are none.
-func listed(names []string) string {
+// joinNames joins names, or tells that there are none.
+func joinNames(names []string) string {
 	if len(names) == 0 {
 		return "none"
 	}
--- a/cmd/springfield/experiment_test.go
+++ b/cmd/springfield/experiment_test.go
@@ -32,7 +32,7 @@
 `)
 }
 
-func TestExperimentIsRunKeptComparedAndReported(t *testing.T) {
+func TestExperimentRunIsStoredComparedAndReported(t *testing.T) {
 	file, directory := smallExperiment(t), t.TempDir()
 	store, results := filepath.Join(directory, "r.db"), filepath.Join(directory, "r.jsonl")
 	got := expect(t, statusSuccess, "experiment", "run", file, "--store", store, "--results", results, "--label", "v1")
@@ -72,7 +72,7 @@
 	wantText(t, expect(t, statusBadInput, "report", results, "--seed", "9").stderr, "no result is selected")
 }
 
-func TestNamesOfResultsTellThemApart(t *testing.T) {
+func TestResultNamesDistinguishResults(t *testing.T) {
 	file, directory := smallExperiment(t), t.TempDir()
 	results := filepath.Join(directory, "r.jsonl")
 	expect(t, statusSuccess, "experiment", "run", file, "--store", filepath.Join(directory, "r.db"), "--results", results)
--- a/cmd/springfield/gateway_program.go
+++ b/cmd/springfield/gateway_program.go
@@ -6,22 +6,22 @@
 	"path/filepath"
 )
 
-// gatewayBinary is the name of the gateway's program, which is built beside this one.
-const gatewayBinary = "gateway"
+// gatewayFileName is the name of the gateway's program, which is built beside this one.
+const gatewayFileName = "gateway"
 
 // gatewayProgram returns the program that gateways run, with its arguments: the given one, or else the gateway beside
 // this program, or else this program itself.
-func gatewayProgram(given string) (path string, arguments []string, err error) {
-	if given != "" {
-		return given, nil, checkExecutable(given)
+func gatewayProgram(requested string) (path string, arguments []string, err error) {
+	if requested != "" {
+		return requested, nil, checkExecutable(requested)
 	}
 	executable, err := os.Executable()
 	if err != nil {
 		return "", nil, fmt.Errorf("find a program for gateways: %w", err)
 	}
-	beside := filepath.Join(filepath.Dir(executable), gatewayBinary)
-	if checkExecutable(beside) == nil {
-		return beside, nil, nil
+	sibling := filepath.Join(filepath.Dir(executable), gatewayFileName)
+	if checkExecutable(sibling) == nil {
+		return sibling, nil, nil
 	}
 	return executable, []string{gatewayProcessName}, nil
 }
--- a/cmd/springfield/main_test.go
+++ b/cmd/springfield/main_test.go
@@ -39,7 +39,7 @@
 	if got.status != status {
 		t.Fatalf("%v: status %d, want %d\n%s%s", arguments, got.status, status, got.stdout, got.stderr)
 	}
-	if status == statusBadInput && !isOneLine(got.stderr) {
+	if status == statusBadInput && !isErrorLine(got.stderr) {
 		t.Errorf("%v: standard error is %q, want one line", arguments, got.stderr)
 	}
 	if status == statusSuccess && got.stderr != "" {
@@ -48,7 +48,7 @@
 	return got
 }
 
-func isOneLine(text string) bool {
+func isErrorLine(text string) bool {
 	return strings.HasPrefix(text, programName+": ") && strings.Count(text, "\n") == 1 && strings.HasSuffix(text, "\n")
 }
 
@@ -91,14 +91,14 @@
 	}
 }
 
-func TestVersionNamesTheCode(t *testing.T) {
+func TestVersionPrintsRevisionOrDigest(t *testing.T) {
 	got := expect(t, statusSuccess, "version")
 	if !regexp.MustCompile(`^springfield (devel-)?[0-9a-f]{12}, built with go`).MatchString(got.stdout) {
 		t.Errorf("it prints %q", got.stdout)
 	}
 }
 
-func TestBadInputIsToldOnOneLine(t *testing.T) {
+func TestBadInputIsReportedOnOneLine(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "missing")
 	broken := writeTestFile(t, "broken.toml", "name = \"x\"\nform = \"flat\"\ncolour = \"red\"\n")
 	text := writeTestFile(t, "text", "no JSON")
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestConfigCheckTellsUsableFilesFromOthers(t *testing.T) {
+func TestConfigCheckReportsProblemsAndUsability(t *testing.T) {
 	const settings = `"settings": {"Balancers": 1,
 "Classes": [{"Name": "search", "AimMs": 400, "HardLimitMs": 1000, "Repeat": "idempotent", "Value": 1}],
 "Contracts": [{"Name": "team", "UnitsPerS": 10, "Burst": 20, "Pays": 1}]}}`
--- a/cmd/springfield/report.go
+++ b/cmd/springfield/report.go
@@ -12,8 +12,8 @@
 	"springfield/internal/report"
 )
 
-// maxReported is the most results that a page shows side by side.
-const maxReported = 24
+// maxPageResults is the most results that a page shows side by side.
+const maxPageResults = 24
 
 type reportCommand struct {
 	Files      []string  `arg:"" optional:"" type:"existingfile" placeholder:"FILE" help:"Results of experiment run."`
@@ -62,46 +62,46 @@
 	case len(c.Files) > 0 && c.Store != "":
 		return nil, inputErrorf("both files of results and --store are given")
 	case c.Store != "":
-		stored, err := storedRecords(c.Store, c.Experiment)
+		storeRecords, err := storedRecords(c.Store, c.Experiment)
 		if err != nil {
 			return nil, err
 		}
-		records = stored
+		records = storeRecords
 	case len(c.Files) > 0:
 		for _, file := range c.Files {
-			read, err := readResults(file)
+			fileRecords, err := readResults(file)
 			if err != nil {
 				return nil, err
 			}
-			records = append(records, read...)
+			records = append(records, fileRecords...)
 		}
 	default:
 		return nil, inputErrorf("neither a file of results nor --store is given (see springfield report --help)")
 	}
-	selected := slices.DeleteFunc(records, func(r experiment.Record) bool { return !c.selects(&r) })
+	selected := slices.DeleteFunc(records, func(r experiment.Record) bool { return !c.matches(&r) })
 	switch {
 	case len(selected) == 0:
 		return nil, inputErrorf("no result is selected")
-	case len(selected) > maxReported:
+	case len(selected) > maxPageResults:
 		return nil, inputErrorf("%d results are selected, a page shows %d: select by --decider, --label, --size or --seed",
-			len(selected), maxReported)
+			len(selected), maxPageResults)
 	}
 	return selected, nil
 }
 
-func (c *reportCommand) selects(record *experiment.Record) bool {
-	return allows(c.Experiment, record.Experiment) && allows(c.Decider, record.Decider) &&
-		allows(c.Label, record.Version) && allows(c.Size, record.Size) && allows(c.Seed, record.Seed)
+func (c *reportCommand) matches(record *experiment.Record) bool {
+	return matchesFilter(c.Experiment, record.Experiment) && matchesFilter(c.Decider, record.Decider) &&
+		matchesFilter(c.Label, record.Version) && matchesFilter(c.Size, record.Size) && matchesFilter(c.Seed, record.Seed)
 }
 
-// allows tells whether a value is among the chosen ones, or none are chosen.
-func allows[T comparable](chosen []T, value T) bool {
-	return len(chosen) == 0 || slices.Contains(chosen, value)
+// matchesFilter tells whether a value is among the chosen ones, or none are chosen.
+func matchesFilter[T comparable](filter []T, value T) bool {
+	return len(filter) == 0 || slices.Contains(filter, value)
 }
 
 // namedResults names each result by what distinguishes it from the others.
 func namedResults(records []experiment.Record) []report.Named {
-	parts := []func(*experiment.Record) string{
+	nameParts := []func(*experiment.Record) string{
 		func(r *experiment.Record) string { return r.Experiment },
 		func(r *experiment.Record) string { return r.Decider },
 		func(r *experiment.Record) string { return r.Version },
@@ -109,13 +109,13 @@
 		func(r *experiment.Record) string { return fmt.Sprintf("seed %d", r.Seed) },
 	}
 	first := &records[0]
-	parts = slices.DeleteFunc(parts, func(part func(*experiment.Record) string) bool {
+	nameParts = slices.DeleteFunc(nameParts, func(part func(*experiment.Record) string) bool {
 		return !slices.ContainsFunc(records, func(r experiment.Record) bool { return part(&r) != part(first) })
 	})
 	results := make([]report.Named, len(records))
 	for i := range records {
 		var names []string
-		for _, part := range parts {
+		for _, part := range nameParts {
 			names = append(names, part(&records[i]))
 		}
 		if len(names) == 0 {
@@ -130,27 +130,27 @@
 	if err := os.MkdirAll(c.Plots, directoryMode); err != nil {
 		return &inputError{err}
 	}
-	write := report.WriteSVG
+	render := report.WriteSVG
 	if c.Format == "png" {
-		write = report.WritePNG
+		render = report.WritePNG
 	}
-	written := 0
+	plotCount := 0
 	for i := range results {
 		for _, figure := range report.Figures() {
-			name := fmt.Sprintf("%d-%s-%s.%s", i+1, fileName(results[i].Name), figure, c.Format)
-			err := writeFile(filepath.Join(c.Plots, name), func(w io.Writer) error { return write(w, figure, &results[i]) })
+			name := fmt.Sprintf("%d-%s-%s.%s", i+1, sanitizeFileName(results[i].Name), figure, c.Format)
+			err := writeFile(filepath.Join(c.Plots, name), func(w io.Writer) error { return render(w, figure, &results[i]) })
 			if err != nil {
 				return err
 			}
-			written++
+			plotCount++
 		}
 	}
-	_, err := fmt.Fprintf(env.stdout, "%s: %s\n", c.Plots, plural(written, "plot"))
+	_, err := fmt.Fprintf(env.stdout, "%s: %s\n", c.Plots, plural(plotCount, "plot"))
 	return err
 }
 
-// fileName replaces what does not belong in the name of a file.
-func fileName(text string) string {
+// sanitizeFileName replaces what does not belong in the name of a file.
+func sanitizeFileName(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '.' {
 			return r
--- a/cmd/springfield/soak.go
+++ b/cmd/springfield/soak.go
@@ -60,32 +60,32 @@
 		return inputErrorf("--parallel %d: want at least 1", c.Parallel)
 	}
 	run := func(ctx context.Context, plan soak.Plan) (soak.Result, error) {
-		return c.runOne(ctx, plan, soak.Options{Gateway: program, GatewayArgs: arguments,
+		return c.runPlan(ctx, plan, soak.Options{Gateway: program, GatewayArgs: arguments,
 			Logger: slog.New(slog.DiscardHandler)})
 	}
 	report := soak.NewReport()
-	var found []soak.Result
+	var withFindings []soak.Result
 	err = soak.Series(ctx, c.Seeds.first, c.Seeds.last, c.Parallel, run, func(result soak.Result) {
 		report.Add(result)
 		if len(result.Findings) > 0 {
-			found = append(found, result)
+			withFindings = append(withFindings, result)
 		}
-		writeRun(env.stdout, &result)
+		writeRunResult(env.stdout, &result)
 	})
 	if err == nil && c.Shrink {
-		err = shrinkAll(ctx, env.stdout, found, run)
+		err = shrinkFindings(ctx, env.stdout, withFindings, run)
 	}
 	if writeErr := report.Write(env.stdout); err == nil {
 		err = writeErr
 	}
 	if err == nil && !report.Clean() {
-		err = fmt.Errorf("%s of %d found something", plural(len(found), "run"), report.Runs)
+		err = fmt.Errorf("%s of %d found something", plural(len(withFindings), "run"), report.Runs)
 	}
 	return err
 }
 
-// runOne runs a plan in a directory of its own, which stays if something was found and files are to be kept.
-func (c *soakCommand) runOne(ctx context.Context, plan soak.Plan, options soak.Options) (soak.Result, error) {
+// runPlan runs a plan in a directory of its own, which stays if something was found and files are to be kept.
+func (c *soakCommand) runPlan(ctx context.Context, plan soak.Plan, options soak.Options) (soak.Result, error) {
 	directory, err := os.MkdirTemp(c.Keep, fmt.Sprintf("soak-%d-", plan.Seed))
 	if err != nil {
 		return soak.Result{}, err
@@ -98,8 +98,8 @@
 	return result, err
 }
 
-// writeRun writes a line on a run, and more if it has found something.
-func writeRun(w io.Writer, result *soak.Result) {
+// writeRunResult writes a line on a run, and more if it has found something.
+func writeRunResult(w io.Writer, result *soak.Result) {
 	kinds := make([]string, 0, len(result.Plan.Faults))
 	for _, fault := range result.Plan.Faults {
 		kinds = append(kinds, string(fault.Kind))
@@ -111,12 +111,12 @@
 	}
 }
 
-// shrinkAll looks for the faults that each finding needs.
-func shrinkAll(ctx context.Context, w io.Writer, found []soak.Result,
+// shrinkFindings looks for the faults that each finding needs.
+func shrinkFindings(ctx context.Context, w io.Writer, withFindings []soak.Result,
 	run func(context.Context, soak.Plan) (soak.Result, error)) error {
-	for _, result := range found {
-		what := result.Findings[0].What
-		plan, err := soak.Shrink(ctx, result.Plan, what, run)
+	for _, result := range withFindings {
+		finding := result.Findings[0].What
+		plan, err := soak.Shrink(ctx, result.Plan, finding, run)
 		if err != nil {
 			return err
 		}
@@ -124,7 +124,7 @@
 		for _, fault := range plan.Faults {
 			kinds = append(kinds, string(fault.Kind))
 		}
-		if _, err := fmt.Fprintf(w, "seed %d: %s needs %s\n", plan.Seed, what, strings.Join(kinds, " + ")); err != nil {
+		if _, err := fmt.Fprintf(w, "seed %d: %s needs %s\n", plan.Seed, finding, strings.Join(kinds, " + ")); err != nil {
 			return err
 		}
 	}
--- a/cmd/springfield/terminal.go
+++ b/cmd/springfield/terminal.go
@@ -18,20 +18,20 @@
 	return err == nil
 }
 
-// progress shows one line that changes, on a terminal alone.
-type progress struct {
+// progressLine shows one line that changes, on a terminal alone.
+type progressLine struct {
 	writer io.Writer // nil: nothing is shown
 }
 
-func newProgress(w io.Writer) *progress {
+func newProgressLine(w io.Writer) *progressLine {
 	if !isTerminal(w) {
-		return &progress{}
+		return &progressLine{}
 	}
-	return &progress{writer: w}
+	return &progressLine{writer: w}
 }
 
 // show replaces the line.
-func (p *progress) show(format string, arguments ...any) {
+func (p *progressLine) show(format string, arguments ...any) {
 	const returnAndClear = "\r\x1b[K"
 	if p.writer != nil {
 		// A line of progress that cannot be written is not worth ending the work for.
@@ -40,4 +40,4 @@
 }
 
 // clear removes the line.
-func (p *progress) clear() { p.show("") }
+func (p *progressLine) clear() { p.show("") }
--- a/cmd/springfield/version.go
+++ b/cmd/springfield/version.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	revisionDigits = 12
-	develPrefix    = "devel-"
+	versionDigits = 12
+	develPrefix   = "devel-"
 )
 
 type versionCommand struct{}
@@ -35,14 +35,14 @@
 func programVersion() (string, error) {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		if revision := cleanRevision(info.Settings); revision != "" {
-			return revision[:min(len(revision), revisionDigits)], nil
+			return revision[:min(len(revision), versionDigits)], nil
 		}
 	}
 	digest, err := executableDigest()
 	if err != nil {
 		return "", fmt.Errorf("find the version: %w", err)
 	}
-	return develPrefix + digest[:revisionDigits], nil
+	return develPrefix + digest[:versionDigits], nil
 }
 
 // cleanRevision returns the revision in the build settings, or "" if it is missing or the files had been changed.
