--- a/cmd/springfield/completion/bash.go
+++ b/cmd/springfield/completion/bash.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// writeBash writes a function that finds the command among the words before the cursor, and then offers what may
-// follow there.
+// writeBash writes the script for bash. Its main function determines the command from the words before the cursor and
+// offers the words that may follow.
 func writeBash(s *script, root *command) {
 	name := functionName(root.name, nil)
 	s.line("# bash completion for %s", root.name)
@@ -32,7 +32,7 @@
 	s.line("complete -F %s %s", name, root.name)
 }
 
-// writeBashCommandFinder writes a function that prints the command that words lead to.
+// writeBashCommandFinder writes a shell function that prints the path of the command that its arguments select.
 func writeBashCommandFinder(s *script, root *command, name string) {
 	s.line("%s_command() {", name)
 	s.line("    local command= word")
@@ -51,7 +51,7 @@
 	s.line("")
 }
 
-// writeBashFlagValues offers the values of the flag before the cursor.
+// writeBashFlagValues writes the code that offers the values of the flag before the cursor.
 func writeBashFlagValues(s *script, root *command, name string) {
 	s.line("    case \"$command $previous\" in")
 	root.walk(func(c *command) {
@@ -73,7 +73,7 @@
 	s.line("    esac")
 }
 
-// writeBashCommands offers flags, commands and arguments.
+// writeBashCommands writes the code that offers the flags, subcommands and arguments of the current command.
 func writeBashCommands(s *script, root *command, name string) {
 	s.line("    case \"$command\" in")
 	root.walk(func(c *command) {
@@ -96,6 +96,7 @@
 	s.line("    esac")
 }
 
+// writeBashValue writes the code that offers the choices or files of a value.
 func writeBashValue(s *script, v *value, name string) {
 	switch {
 	case len(v.choices) > 0:
--- a/cmd/springfield/completion/completion.go
+++ b/cmd/springfield/completion/completion.go
@@ -1,5 +1,5 @@
-// Package completion writes scripts that complete command lines in bash, zsh and fish. The scripts hold all that they
-// need of kong's model of the command line: commands, flags and their values.
+// Package completion writes scripts that complete command lines in bash, zsh and fish. A script contains all commands,
+// flags and values of kong's model of the command line, so that completing does not run the program.
 package completion
 
 import (
@@ -11,17 +11,17 @@
 	"github.com/alecthomas/kong"
 )
 
-// Shell names a shell.
+// Shell is the name of a shell.
 type Shell string
 
-// The shells that scripts can be written for.
+// These are the shells that Write supports.
 const (
 	Bash Shell = "bash"
 	Zsh  Shell = "zsh"
 	Fish Shell = "fish"
 )
 
-// Write writes the script of a shell for an application.
+// Write writes the script that completes the command lines of an application in a shell.
 func Write(w io.Writer, shell Shell, application *kong.Application) error {
 	root := newCommand(application.Node, nil)
 	text := &script{writer: bufio.NewWriter(w)}
@@ -38,32 +38,34 @@
 	return text.writer.Flush()
 }
 
-// command is a command with what may follow it.
+// command describes a command and the words that may follow it.
 type command struct {
 	name      string
-	path      []string // of the commands that lead to it, without the program's name
+	path      []string // names from the first command to this one, without the program's name
 	help      string
 	flags     []flag
 	arguments []value
 	children  []*command
 }
 
+// flag describes a flag of a command.
 type flag struct {
 	name  string // without dashes
-	short string // a letter, or ""
+	short string // one letter, or "" if there is no short form
 	help  string
-	value value // of no use if the flag is boolean
+	value value // unused if the flag is boolean
 	bool  bool
 }
 
-// value tells what can stand for a flag's value or an argument.
+// value describes the values that a flag or an argument accepts.
 type value struct {
 	name    string
-	choices []string // nil: any
+	choices []string // nil if any text is accepted
 	files   fileKind
-	repeats bool // any number of them may follow
+	repeats bool // whether the argument may be given more than once
 }
 
+// fileKind is the kind of files that complete a value.
 type fileKind uint8
 
 const (
@@ -72,6 +74,7 @@
 	directories
 )
 
+// newCommand converts a command of kong's model and its subcommands. It leaves out hidden commands.
 func newCommand(node *kong.Node, path []string) *command {
 	result := &command{name: node.Name, path: path, help: node.Help}
 	for _, group := range node.AllFlags(true) {
@@ -113,7 +116,7 @@
 	return result
 }
 
-// spellings returns the flag as it may be written: --name and, if there is one, -n.
+// spellings returns the forms in which the flag may be written: --name and, if it has a short form, -n.
 func (f *flag) spellings() []string {
 	spellings := []string{"--" + f.name}
 	if f.short != "" {
@@ -122,10 +125,10 @@
 	return spellings
 }
 
-// pathText returns the path as words.
+// pathText returns the names of the path, separated by spaces.
 func (c *command) pathText() string { return strings.Join(c.path, " ") }
 
-// walk calls a function for the command and all commands within.
+// walk calls visit for the command and for all commands below it.
 func (c *command) walk(visit func(*command)) {
 	visit(c)
 	for _, child := range c.children {
@@ -141,17 +144,17 @@
 	return names
 }
 
-// script writes lines; the writer keeps the first error.
+// script writes the lines of a shell script. The writer keeps the first error, which Flush returns.
 type script struct{ writer *bufio.Writer }
 
 func (s *script) line(format string, arguments ...any) {
 	_, _ = fmt.Fprintf(s.writer, format+"\n", arguments...) // Flush returns the error
 }
 
-// quote returns a text as a word in single quotes, as bash and zsh read it.
+// quote returns a text as one word in single quotes for bash and zsh.
 func quote(text string) string { return "'" + strings.ReplaceAll(text, "'", `'\''`) + "'" }
 
-// functionName returns a name for a shell functionName.
+// functionName returns the name of the shell function for a command of the program.
 func functionName(program string, path []string) string {
 	name := "_" + strings.Join(append([]string{program}, path...), "_")
 	return strings.Map(func(r rune) rune {
--- a/cmd/springfield/completion/fish.go
+++ b/cmd/springfield/completion/fish.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// writeFish writes a function that finds the command among the words before the cursor, and a rule for each command,
-// flag and argument that applies where that command stands.
+// writeFish writes the script for fish: a function that tests for the command before the cursor, and a call of complete
+// for each subcommand, flag and argument, with that test as its condition.
 func writeFish(s *script, root *command) {
 	testFunction := "_" + functionName(root.name, []string{"at"})
 	s.line("# fish completion for %s", root.name)
@@ -26,7 +26,8 @@
 	})
 }
 
-// writeFishCommandTest writes a function that tells whether the words before the cursor lead to a command.
+// writeFishCommandTest writes a shell function that tests whether the words before the cursor select the command whose
+// path is its argument.
 func writeFishCommandTest(s *script, root *command, testFunction string) {
 	var paths []string
 	root.walk(func(c *command) {
@@ -47,7 +48,7 @@
 	s.line("")
 }
 
-// fishFlagOptions returns the options of complete for a flag.
+// fishFlagOptions returns the options of fish's complete command for a flag.
 func fishFlagOptions(f *flag) string {
 	options := " -l " + f.name
 	if f.short != "" {
@@ -57,13 +58,13 @@
 	case f.bool:
 	case f.value.files == anyFiles:
 		options += " -r" + fishValueOptions(&f.value)
-	default: // no files
+	default: // the value is required, and no files are offered
 		options += " -x" + fishValueOptions(&f.value)
 	}
 	return options + " -d " + fishQuote(f.help)
 }
 
-// fishValueOptions returns the options of complete that offer values.
+// fishValueOptions returns the options of fish's complete command that offer the choices or files of a value.
 func fishValueOptions(v *value) string {
 	switch {
 	case len(v.choices) > 0:
@@ -77,7 +78,7 @@
 	}
 }
 
-// fishQuote returns a text as a word in single quotes, as fish reads it.
+// fishQuote returns a text as one word in single quotes for fish.
 func fishQuote(text string) string {
 	return "'" + strings.NewReplacer(`\`, `\\`, `'`, `\'`).Replace(text) + "'"
 }
--- a/cmd/springfield/completion/zsh.go
+++ b/cmd/springfield/completion/zsh.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// writeZsh writes a function for each command, which leaves the words after a subcommand to that one's function.
+// writeZsh writes the script for zsh, which has a function for each command. The function of a command with subcommands
+// passes the words after a subcommand to the function of that subcommand.
 func writeZsh(s *script, root *command) {
 	s.line("#compdef %s", root.name)
 	s.line("")
@@ -27,6 +28,7 @@
 	s.line("fi")
 }
 
+// writeZshParent writes the body of the function of a command with subcommands.
 func writeZshParent(s *script, program string, c *command) {
 	s.line("    local state line")
 	s.line("    local -a commands")
@@ -53,6 +55,7 @@
 	s.line("    esac")
 }
 
+// writeZshLeaf writes the body of the function of a command without subcommands.
 func writeZshLeaf(s *script, c *command) {
 	specs := make([]string, 0, len(c.flags)+len(c.arguments))
 	for i := range c.flags {
@@ -68,7 +71,7 @@
 	s.line("    _arguments %s", strings.Join(specs, " \\\n        "))
 }
 
-// zshFlagSpec returns the specification of a flag for _arguments.
+// zshFlagSpec returns the specification of a flag for zsh's _arguments.
 func zshFlagSpec(f *flag) string {
 	text := "[" + strings.NewReplacer("[", `\[`, "]", `\]`).Replace(f.help) + "]"
 	if !f.bool {
@@ -85,7 +88,7 @@
 	return quote(fmt.Sprintf("(%s --%s)", short, f.name)) + "{" + quote(short) + "," + quote(long) + "}" + quote(text)
 }
 
-// zshValueSpec returns the message and the action of a specification.
+// zshValueSpec returns the message and the action of a value in a specification for zsh's _arguments.
 func zshValueSpec(v *value) string {
 	message := escapeColons(v.name) + ":"
 	switch {
@@ -100,4 +103,5 @@
 	}
 }
 
+// escapeColons escapes the colons of a text, which separate the parts of a zsh specification.
 func escapeColons(text string) string { return strings.ReplaceAll(text, ":", `\:`) }
