--- a/cmd/springfield/cli.go
+++ b/cmd/springfield/cli.go
@@ -15,7 +15,7 @@
 
 const description = `Runs deployments of gateways on this machine and shows how well they serve.
 
-Exit status: 0 on success, 1 if a run has failed or has broken a rule, 2 for input that cannot be used.
+Exit status: 0 on success, 1 if a run failed, was interrupted or broke a rule, 2 for invalid input.
 
 Examples:
 
@@ -24,7 +24,7 @@
     springfield report --store results.db --experiment calm --output calm.html
     springfield config check config.json`
 
-// commandLine is the grammar of the command line.
+// commandLine declares the commands of the program for kong.
 type commandLine struct {
 	Demo       demoCommand       `cmd:"" help:"Run a small deployment on sockets of this machine."`
 	Experiment experimentCommand `cmd:"" help:"Run experiments, and compare their results."`
@@ -38,15 +38,15 @@
 	GatewayProcess gatewayProcessCommand `cmd:"" hidden:"" help:"Run as a gateway; demo and experiments start this."`
 }
 
-// helpTexts are those that do not fit into a line of the grammar or are used more than once.
+// helpTexts holds help texts that are too long for a struct tag or that several tags share. Tags refer to them by key.
 var helpTexts = kong.Vars{
-	"gateway_help": "Program of the gateways of runs over sockets; without it, the gateway beside this program, or " +
-		"else this program itself.",
-	"emulate_file_help": "Experiment file whose scenario is used; without it, a small deployment without faults.",
-	"side_help":         "Without a version, the only one in the store, or else that of this program.",
+	"gateway_help": "Gateway program for runs over sockets; by default, the gateway in the directory of this program, " +
+		"or else this program itself.",
+	"emulate_file_help": "Experiment file whose scenario is used; by default, a small deployment without faults.",
+	"side_help":         "The version defaults to the only one in the store, or else to that of this program.",
 }
 
-// environment is what commands need of the process.
+// environment holds the output streams and kong's model of the command line for the commands.
 type environment struct {
 	stdout, stderr io.Writer
 	application    *kong.Application
@@ -59,17 +59,18 @@
 		return exitStatus(stderr, err)
 	}
 	parsed, err := parse(parser, arguments)
-	if err != nil || parsed == nil { // help was shown
+	if err != nil || parsed == nil { // parsed is nil if the help was shown
 		return exitStatus(stderr, err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	context.AfterFunc(ctx, stop) // a second interrupt ends the program at once
+	context.AfterFunc(ctx, stop) // restores the default, so that a second interrupt ends the program at once
 	parsed.BindTo(ctx, (*context.Context)(nil))
 	return exitStatus(stderr, parsed.Run(&environment{stdout: stdout, stderr: stderr, application: parser.Model}))
 }
 
-// exitRequest is the panic by which kong's help ends the parsing of a command line.
+// exitRequest is the value of the panic that stops the parsing after kong has shown the help. Kong would parse on if
+// its exit function returned.
 type exitRequest int
 
 func newParser(stdout, stderr io.Writer) (*kong.Kong, error) {
@@ -84,10 +85,10 @@
 	)
 }
 
-// helpWidth is the longest line of the help.
+// helpWidth is the column at which lines of the help wrap.
 const helpWidth = 100
 
-// parse returns nil without an error if the command line asks for help, which it has shown.
+// parse parses a command line. If the command line asks for help, parse shows it and returns nil without an error.
 func parse(parser *kong.Kong, arguments []string) (parsed *kong.Context, err error) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
--- a/cmd/springfield/completion.go
+++ b/cmd/springfield/completion.go
@@ -6,9 +6,9 @@
 	Shell string `arg:"" enum:"bash,zsh,fish" placeholder:"SHELL" help:"One of ${enum}."`
 }
 
-// Help tells how to load the script.
+// Help returns the detailed help, which says how to load the script.
 func (*completionCommand) Help() string {
-	return `Load the script in the present shell, or save it where the shell looks for completions.
+	return `Load the script in the current shell, or save it where the shell looks for completions.
 
 Examples:
 
@@ -17,7 +17,7 @@
     springfield completion fish >~/.config/fish/completions/springfield.fish`
 }
 
-// Run prints the script.
+// Run prints the completion script of the shell.
 func (c *completionCommand) Run(env *environment) error {
 	return completion.Write(env.stdout, completion.Shell(c.Shell), env.application)
 }
--- a/cmd/springfield/config.go
+++ b/cmd/springfield/config.go
@@ -15,18 +15,18 @@
 	File string `arg:"" type:"path" placeholder:"FILE" help:"Configuration file, as RELAY_CONFIG names it."`
 }
 
-// Help describes the output.
+// Help returns the detailed help, which describes the output.
 func (*configCheckCommand) Help() string {
-	return `Each problem is a line on standard output: file, line, severity, JSON path and reason. An error is a value that
-the gateway cannot use; with one, the exit status is 2. With warnings alone it is 0. The environment variables that
-precede the file at the start of a gateway are left out, as they are when it is reloaded.
+	return `Each problem is printed as one line on standard output: file, line, severity, JSON path and reason. An error is
+a value that the gateway cannot use; the exit status is 2 if there are errors, and 0 if there are only warnings. The
+environment variables that override the file when a gateway starts are ignored, as they are when the file is reloaded.
 
 Example:
 
     springfield config check /run/balancer/config.json`
 }
 
-// Run prints the problems of the file.
+// Run checks the file and prints its problems.
 func (c *configCheckCommand) Run(env *environment) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return err
 }
 
-// plural returns a count with its noun.
+// plural formats a count with its noun. It appends an "s" to the noun unless the count is 1.
 func plural(count int, noun string) string {
 	if count == 1 {
 		return "1 " + noun
--- a/cmd/springfield/demo.go
+++ b/cmd/springfield/demo.go
@@ -17,10 +17,11 @@
 const (
 	demoName = "demo"
 
-	// demoTimeout ends a demo that takes longer than it should.
+	// demoTimeout limits the start and the load of a demo. With the shutdown, the demo must take under 45 s.
 	demoTimeout = 40 * time.Second
 
-	// faultBeginShare and faultLength place the demo's fault in its load.
+	// faultBeginShare and faultLengthShare are the begin and the length of the demo's fault, as shares of the length of
+	// the load.
 	faultBeginShare  = 0.3
 	faultLengthShare = 0.2
 
@@ -34,7 +35,7 @@
 	resultsFile = "results.jsonl"
 )
 
-var errDemoTimeout = fmt.Errorf("it took over %v", demoTimeout)
+var errDemoTimeout = fmt.Errorf("the demo took over %v", demoTimeout)
 
 type demoCommand struct {
 	Output  string        `short:"o" type:"path" placeholder:"DIR" help:"Directory for a report, results and logs."`
@@ -43,10 +44,10 @@
 	Gateway string        `type:"path" placeholder:"PROGRAM" help:"${gateway_help}"`
 }
 
-// Help describes the deployment.
+// Help returns the detailed help, which describes the deployment.
 func (*demoCommand) Help() string {
-	return `Three gateway processes serve clients in front of eight endpoints, over sockets of this machine. One endpoint
-crashes during the load, and comes back with a small part of its capacity. The demo takes under 45 s.
+	return `Three gateway processes serve clients in front of eight endpoints, over local sockets. One endpoint crashes
+during the load and restarts with a small part of its capacity. The demo takes under 45 s.
 
 Examples:
 
@@ -54,7 +55,7 @@
     springfield demo --output out && xdg-open out/report.html`
 }
 
-// Run runs the deployment and prints a table of what was served.
+// Run runs the deployment and prints a summary of the results.
 func (c *demoCommand) Run(ctx context.Context, env *environment) error {
 	if c.Length < minDemoLength || c.Length > maxDemoLength {
 		return inputErrorf("--length is %v, want %v to %v", c.Length, minDemoLength, maxDemoLength)
@@ -79,7 +80,7 @@
 	return errors.Join(err, writeRecordSummary(env.stdout, record), c.writeFiles(env, record), brokenRulesError(record))
 }
 
-// demoScenario is the default deployment with an endpoint that crashes and starts again.
+// demoScenario returns the default scenario with one fault: an endpoint crashes and restarts.
 func demoScenario(length time.Duration) emulator.Scenario {
 	scenario := model.DefaultScenario()
 	scenario.Name = demoName
@@ -93,7 +94,8 @@
 	return scenario
 }
 
-// prepareOutputDirectory makes the directory, or a temporary one that the function removes.
+// prepareOutputDirectory creates the directory at path, or a temporary directory if path is empty. The function remove
+// deletes the temporary directory; it keeps a directory at path.
 func prepareOutputDirectory(path string) (directory string, remove func(), err error) {
 	if path != "" {
 		if err := os.MkdirAll(path, directoryMode); err != nil {
@@ -102,10 +104,10 @@
 		return path, func() {}, nil
 	}
 	directory, err = os.MkdirTemp("", programName+"-")
-	return directory, func() { _ = os.RemoveAll(directory) }, err // what is left over lies in the temporary directory
+	return directory, func() { _ = os.RemoveAll(directory) }, err // a failure only leaves temporary files
 }
 
-// writeFiles writes the report and the results if a directory for them was named.
+// writeFiles writes the report and the results to the output directory, if there is one.
 func (c *demoCommand) writeFiles(env *environment, record *experiment.Record) error {
 	if c.Output == "" {
 		return nil
--- a/cmd/springfield/deployment.go
+++ b/cmd/springfield/deployment.go
@@ -15,33 +15,33 @@
 
 const progressInterval = 500 * time.Millisecond
 
-// deployment is a deployment on sockets that is about to be run once.
+// deployment describes a single run of an emulated deployment over sockets.
 type deployment struct {
-	name     string // under which its record is kept
+	name     string // name of the experiment in the record
 	scenario emulator.Scenario
 	seed     uint64
 
-	gateway     string // program of the gateways; "": they are started by hand
+	gateway     string // gateway program, or "" if the gateways are started by hand
 	gatewayArgs []string
 	directory   string
-	onStarted   func(loopback.Addresses) error // nil, or called before the load
-	observer    emulator.Observer              // nil, or told of the run as the measurement is
+	onStarted   func(loopback.Addresses) error // if set, called after the start and before the load
+	observer    emulator.Observer              // if set, receives every observation of the run
 }
 
-// incompleteRunError is returned for a run that ended early. What was measured until then has been shown.
+// incompleteRunError reports a run that ended before its load was over. The run's record covers the time until then.
 type incompleteRunError struct{ cause error }
 
 func (e *incompleteRunError) Error() string {
 	if errors.Is(e.cause, context.Canceled) {
-		return "interrupted: the figures end there, and requests that were open count as missing"
+		return "interrupted: the results end there, and requests that were still open count as missing"
 	}
 	return fmt.Sprintf("the run ended early: %v", e.cause)
 }
 
 func (e *incompleteRunError) Unwrap() error { return e.cause }
 
-// run runs the deployment. The record is nil if nothing was measured; if there is a record and an error, the run ended
-// early.
+// run runs the deployment and returns its record. The record is nil if nothing was measured. A record with an error is
+// that of a run that ended early or whose gateways crashed.
 func (d *deployment) run(ctx context.Context, stderr io.Writer) (*experiment.Record, error) {
 	version, err := programVersion()
 	if err != nil {
@@ -75,13 +75,13 @@
 	case err != nil:
 		err = &incompleteRunError{cause: err}
 	case summary.GatewayCrashes > 0:
-		err = fmt.Errorf("%s ended without being told to", plural(summary.GatewayCrashes, "gateway process"))
+		err = fmt.Errorf("%s exited unexpectedly", plural(summary.GatewayCrashes, "gateway"))
 	}
 	return record, err
 }
 
-// start starts the deployment. It ends with the context only until it has started: later an interrupt must not reset
-// the connections before the measurement is finished.
+// start starts the deployment. Cancelling ctx aborts the start but has no effect on a deployment that has started: an
+// interrupt must not reset the connections before the measurement is finished.
 func (d *deployment) start(ctx context.Context, observer emulator.Observer, stderr io.Writer) (*loopback.World, error) {
 	line := newProgressLine(stderr)
 	line.show("starting %s and %s", plural(d.scenario.Gateways, "gateway"),
@@ -103,10 +103,10 @@
 		cancel(err)
 		return nil, fmt.Errorf("start the deployment: %w", err)
 	}
-	return world, nil // worldCtx is of no use once the world is closed
+	return world, nil // worldCtx must not be cancelled here: the world uses it until it is closed
 }
 
-// drive plays the load and shows how far it is.
+// drive runs the load and shows its progress.
 func (d *deployment) drive(ctx context.Context, world *loopback.World, stderr io.Writer) (loopback.Summary, error) {
 	line := newProgressLine(stderr)
 	defer line.clear()
@@ -121,7 +121,7 @@
 			case <-driveCtx.Done():
 				return
 			case <-ticker.C:
-				line.show("%d requests sent, of a load of %v", world.Summary().Requests, d.scenario.Length.Of())
+				line.show("%d requests sent, the load takes %v", world.Summary().Requests, d.scenario.Length.Of())
 			}
 		}
 	}()
--- a/cmd/springfield/emulate.go
+++ b/cmd/springfield/emulate.go
@@ -20,10 +20,11 @@
 	Results   string `type:"path" placeholder:"FILE" help:"Also write the results as JSON."`
 }
 
-// Help tells how gateways are started.
+// Help returns the detailed help, which says how the gateways are started.
 func (*emulateCommand) Help() string {
-	return `Endpoints, discovery and clients run in this process. It writes a configuration for each gateway, prints how to
-start them, and begins with the load once all of them are ready. An interrupt ends it and shows what was measured.
+	return `Endpoints, discovery and clients run in this process. It writes a configuration file for each gateway, prints
+the commands that start the gateways, and begins the load once all of them are ready. An interrupt ends the run, and the
+results until then are shown.
 
 Examples:
 
@@ -31,7 +32,7 @@
     springfield emulate experiments/sockets.toml --directory run`
 }
 
-// Run emulates the deployment until its load is over or it is interrupted.
+// Run emulates the deployment until its load is over or it is interrupted, and prints a summary of the results.
 func (c *emulateCommand) Run(ctx context.Context, env *environment) error {
 	scenario, err := c.scenario()
 	if err != nil {
@@ -55,6 +56,7 @@
 	return errors.Join(errs...)
 }
 
+// scenario returns the scenario of the experiment file, or the default scenario without a file.
 func (c *emulateCommand) scenario() (emulator.Scenario, error) {
 	if c.File == "" {
 		return model.DefaultScenario(), nil
@@ -66,9 +68,9 @@
 	return loaded.Scenario, nil
 }
 
-// writeStartCommands prints a command for each gateway that is to be started.
+// writeStartCommands prints the command that starts each gateway.
 func writeStartCommands(env *environment, addresses loopback.Addresses) error {
-	if _, err := fmt.Fprintf(env.stdout, "%s ready. Start each gateway, in a shell of its own:\n",
+	if _, err := fmt.Fprintf(env.stdout, "%s ready. Start each gateway in its own shell:\n",
 		plural(len(addresses.Endpoints), "endpoint")); err != nil {
 		return err
 	}
@@ -78,6 +80,6 @@
 			return err
 		}
 	}
-	_, err := fmt.Fprintln(env.stdout, "The load begins when all of them are ready. Ctrl-C ends it.")
+	_, err := fmt.Fprintln(env.stdout, "The load begins when all gateways are ready. Ctrl-C ends it.")
 	return err
 }
--- a/cmd/springfield/experiment.go
+++ b/cmd/springfield/experiment.go
@@ -16,7 +16,7 @@
 	List    experimentListCommand    `cmd:"" help:"List the results in the store."`
 }
 
-// storeFlag names the store of results.
+// storeFlag is the flag that names the store of results. Commands embed it.
 type storeFlag struct {
 	Store string `default:"results.db" type:"path" placeholder:"FILE" help:"Store of results (${default})."`
 }
@@ -33,9 +33,9 @@
 	Directory string   `type:"path" placeholder:"DIR" help:"Directory for logs of gateways in runs over sockets."`
 }
 
-// Help gives examples.
+// Help returns the detailed help, which says how interrupted runs are resumed.
 func (*experimentRunCommand) Help() string {
-	return `A run that was interrupted is made again by the next call; all that had finished before are kept.
+	return `After an interrupt, the same command repeats the runs that were interrupted; the store keeps the finished ones.
 
 Examples:
 
@@ -43,7 +43,7 @@
     springfield experiment run experiments/*.toml --store all.db --results all.jsonl`
 }
 
-// Run runs the experiments one after another.
+// Run runs the experiments one after another and prints their results.
 func (c *experimentRunCommand) Run(ctx context.Context, env *environment) error {
 	if c.Workers < 0 {
 		return inputErrorf("--workers is %d, want 0 or more", c.Workers)
@@ -60,13 +60,13 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = store.Close() }() // each record is on disk since it was put
+	defer func() { _ = store.Close() }() // an error loses nothing: each record is on disk once it is put
 	options.Store = store
 	var records []experiment.Record
 	var errs []error
 	for _, loaded := range experiments {
 		if ctx.Err() != nil {
-			errs = append(errs, fmt.Errorf("%s: not begun: %w", loaded.Name, ctx.Err()))
+			errs = append(errs, fmt.Errorf("%s: not started: %w", loaded.Name, ctx.Err()))
 			continue
 		}
 		outcome, err := executeExperiment(ctx, env, loaded, options)
@@ -82,6 +82,7 @@
 	return errors.Join(errs...)
 }
 
+// loadExperiments loads experiment files. Its error covers all files that cannot be used.
 func loadExperiments(files []string) ([]*experiment.Experiment, error) {
 	var experiments []*experiment.Experiment
 	var errs []error
@@ -99,6 +100,7 @@
 	return experiments, nil
 }
 
+// options returns the options of the runs. Their version is the label, or else that of this program.
 func (c *experimentRunCommand) options(env *environment) (experiment.Options, error) {
 	version := c.Label
 	if version == "" {
@@ -116,6 +118,7 @@
 	return experiment.Options{World: world, Version: version, Workers: c.Workers, Fresh: c.Fresh}, nil
 }
 
+// executeExperiment runs an experiment and shows its progress.
 func executeExperiment(ctx context.Context, env *environment, loaded *experiment.Experiment,
 	options experiment.Options) (experiment.Outcome, error) {
 	line := newProgressLine(env.stderr)
@@ -132,7 +135,7 @@
 	return outcome, err
 }
 
-// writeBrokenRules writes a line for each run that has broken a rule, and returns an error if there is one.
+// writeBrokenRules prints a line for each run that broke a rule, and returns an error if there is such a run.
 func writeBrokenRules(env *environment, records []experiment.Record) error {
 	brokenRuns := 0
 	for i := range records {
--- a/cmd/springfield/experiment_results.go
+++ b/cmd/springfield/experiment_results.go
@@ -17,10 +17,10 @@
 	After      string `required:"" placeholder:"DECIDER[@VERSION]" help:"What is compared. ${side_help}"`
 }
 
-// Help gives examples.
+// Help returns the detailed help, which names the statistics of the comparison.
 func (*experimentCompareCommand) Help() string {
-	return `The differences have 95 % confidence intervals by Student's t distribution, over the pairs of runs with the
-same size, seed and scenario.
+	return `Differences are shown with 95 % confidence intervals, computed with Student's t distribution over the pairs of
+runs with the same size, seed and scenario.
 
 Examples:
 
@@ -52,7 +52,8 @@
 	return comparison.WriteText(env.stdout)
 }
 
-// parseSide parses DECIDER[@VERSION].
+// parseSide parses DECIDER[@VERSION]. Without a version it takes the only version of the decider's records, or else
+// that of this program. Error messages name the flag.
 func parseSide(flag, text string, records []experiment.Record) (experiment.Side, error) {
 	decider, version, hasVersion := strings.Cut(text, "@")
 	if decider == "" || hasVersion && version == "" {
@@ -70,13 +71,13 @@
 		return experiment.Side{}, err
 	}
 	if len(versions) > 1 && !slices.Contains(versions, ownVersion) {
-		return experiment.Side{}, inputErrorf("%s is %q without a version, and the store has %s", flag, text,
+		return experiment.Side{}, inputErrorf("%s is %q without a version, but the store has versions %s", flag, text,
 			strings.Join(versions, ", "))
 	}
 	return experiment.Side{Decider: decider, Version: ownVersion}, nil
 }
 
-// versionsOf returns the versions of a decider's records, sorted.
+// versionsOf returns the distinct versions of a decider's records, sorted.
 func versionsOf(decider string, records []experiment.Record) []string {
 	var versions []string
 	for i := range records {
@@ -94,9 +95,9 @@
 	Experiments []string `arg:"" optional:"" help:"Names of experiments; without them, all."`
 }
 
-// Help gives examples.
+// Help returns the detailed help, which describes the output.
 func (*experimentListCommand) Help() string {
-	return `Each line holds the means over the seeds of one version, decider and size.
+	return `Each line shows the means over all seeds for one version, decider and size.
 
 Examples:
 
@@ -104,7 +105,7 @@
     springfield experiment list calm herd --store all.db`
 }
 
-// Run prints the results.
+// Run prints the stored results of the experiments.
 func (c *experimentListCommand) Run(env *environment) error {
 	records, err := storedRecords(c.Store, c.Experiments)
 	if err != nil {
@@ -117,7 +118,8 @@
 	return experiment.WriteList(env.stdout, records)
 }
 
-// storedRecords reads the records of experiments, or of all. An experiment without records is bad input.
+// storedRecords reads the records of the named experiments from a store, or of all experiments without names. A name
+// without records is an input error.
 func storedRecords(path string, names []string) (records []experiment.Record, err error) {
 	store, err := openStore(path, false)
 	if err != nil {
@@ -133,7 +135,7 @@
 	}
 	for _, name := range names {
 		if !slices.Contains(storedNames, name) {
-			return nil, inputErrorf("%s has no results of experiment %q, only of %s", path, name, joinNames(storedNames))
+			return nil, inputErrorf("%s has no results of experiment %q; it has those of %s", path, name, joinNames(storedNames))
 		}
 		found, err := store.Records(name)
 		if err != nil {
@@ -144,7 +146,7 @@
 	return records, nil
 }
 
-// joinNames joins names, or tells that there are none.
+// joinNames joins names with commas. It returns "none" if there are none.
 func joinNames(names []string) string {
 	if len(names) == 0 {
 		return "none"
--- a/cmd/springfield/gateway_process.go
+++ b/cmd/springfield/gateway_process.go
@@ -13,21 +13,21 @@
 	"springfield/internal/gateway"
 )
 
-// gatewayProcessName is the command by which this program runs as a gateway.
+// gatewayProcessName is the command that runs this program as a gateway.
 const gatewayProcessName = "gateway-process"
 
-// The limits of a gateway's process are those of cmd/gateway.
+// These settings of a gateway's process are those of cmd/gateway.
 const (
-	maxProcs          = 1
-	gcPercent         = 400
-	heapShare         = 0.75
+	maxProcs          = 1    // GOMAXPROCS
+	gcPercent         = 400  // GOGC
+	heapShare         = 0.75 // fraction of the configured memory limit that the Go runtime may use
 	bytesPerMB        = 1 << 20
-	reloadQueueLength = 1 // one that is pending stands for all that come meanwhile
+	reloadQueueLength = 1 // one pending signal covers all that arrive meanwhile
 )
 
 type gatewayProcessCommand struct{}
 
-// Run is a gateway until SIGTERM or an interrupt, set up as in cmd/gateway.
+// Run runs a gateway until SIGTERM or an interrupt, with the process settings of cmd/gateway.
 func (*gatewayProcessCommand) Run(parent context.Context, env *environment) error {
 	slog.SetDefault(slog.New(slog.NewTextHandler(env.stderr, nil)))
 	reload := make(chan os.Signal, reloadQueueLength)
--- a/cmd/springfield/gateway_program.go
+++ b/cmd/springfield/gateway_program.go
@@ -6,18 +6,18 @@
 	"path/filepath"
 )
 
-// gatewayFileName is the name of the gateway's program, which is built beside this one.
+// gatewayFileName is the file name of the gateway program, which may be built into the same directory as this program.
 const gatewayFileName = "gateway"
 
-// gatewayProgram returns the program that gateways run, with its arguments: the given one, or else the gateway beside
-// this program, or else this program itself.
+// gatewayProgram returns the program that runs as a gateway, and its arguments: the requested program, or else the
+// gateway in the directory of this program, or else this program itself.
 func gatewayProgram(requested string) (path string, arguments []string, err error) {
 	if requested != "" {
 		return requested, nil, checkExecutable(requested)
 	}
 	executable, err := os.Executable()
 	if err != nil {
-		return "", nil, fmt.Errorf("find a program for gateways: %w", err)
+		return "", nil, fmt.Errorf("find the gateway program: %w", err)
 	}
 	sibling := filepath.Join(filepath.Dir(executable), gatewayFileName)
 	if checkExecutable(sibling) == nil {
@@ -26,6 +26,7 @@
 	return executable, []string{gatewayProcessName}, nil
 }
 
+// checkExecutable returns an input error unless path is a file that may be executed.
 func checkExecutable(path string) error {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -33,7 +34,7 @@
 	}
 	const anyExecute = 0o111
 	if info.IsDir() || info.Mode()&anyExecute == 0 {
-		return inputErrorf("%s is no program", path)
+		return inputErrorf("%s is not an executable file", path)
 	}
 	return nil
 }
--- a/cmd/springfield/main.go
+++ b/cmd/springfield/main.go
@@ -1,5 +1,5 @@
-// Command springfield is the laboratory of the gateway: it runs deployments of gateways on sockets of this machine and
-// in virtual time, compares versions of the policy, reports on the results and checks configuration files.
+// Command springfield is the lab of the gateway. It runs deployments of gateways on local sockets and in virtual time,
+// compares versions of the policy, writes reports of the results and checks configuration files.
 package main
 
 import (
--- a/cmd/springfield/main_test.go
+++ b/cmd/springfield/main_test.go
@@ -9,9 +9,10 @@
 	"testing"
 )
 
-// programVariable lets the test binary stand in for the program.
+// programVariable is the environment variable that makes the test binary run as the program.
 const programVariable = "TEST_SPRINGFIELD"
 
+// TestMain runs the program instead of the tests if a test has started this binary as the program or as a gateway.
 func TestMain(m *testing.M) {
 	asGateway := len(os.Args) > 1 && os.Args[1] == gatewayProcessName
 	if asGateway || os.Getenv(programVariable) != "" {
@@ -20,7 +21,7 @@
 	os.Exit(m.Run())
 }
 
-// output is what a command line has brought.
+// output holds the exit status and the texts that a command line has written.
 type output struct {
 	status         int
 	stdout, stderr string
@@ -32,7 +33,8 @@
 	return output{status: status, stdout: stdout.String(), stderr: stderr.String()}
 }
 
-// expect executes a command line and checks its status. Bad input must be told on one line of standard error.
+// expect executes a command line and checks its exit status. Bad input must be reported on one line of standard error,
+// and a success must leave standard error empty.
 func expect(t *testing.T, status int, arguments ...string) output {
 	t.Helper()
 	got := execute(arguments...)
@@ -48,6 +50,7 @@
 	return got
 }
 
+// isErrorLine reports whether text is a single line that starts with the program's name.
 func isErrorLine(text string) bool {
 	return strings.HasPrefix(text, programName+": ") && strings.Count(text, "\n") == 1 && strings.HasSuffix(text, "\n")
 }
@@ -56,7 +59,7 @@
 	t.Helper()
 	for _, part := range wanted {
 		if !strings.Contains(text, part) {
-			t.Errorf("no %q in:\n%s", part, text)
+			t.Errorf("%q is missing in:\n%s", part, text)
 		}
 	}
 }
@@ -75,6 +78,8 @@
 	return path
 }
 
+// TestHelpHasExamplesAndHidesTheGatewayProcess guards against commands whose help lacks examples, and against help that
+// offers the internal gateway command.
 func TestHelpHasExamplesAndHidesTheGatewayProcess(t *testing.T) {
 	got := expect(t, statusSuccess, "--help")
 	wantText(t, got.stdout, "Examples:", "springfield demo", "Exit status")
@@ -82,7 +87,7 @@
 		t.Errorf("the help shows %s", gatewayProcessName)
 	}
 	if none := expect(t, statusSuccess); none.stdout != got.stdout {
-		t.Errorf("without arguments it prints:\n%s", none.stdout)
+		t.Errorf("without arguments the program does not print its help:\n%s", none.stdout)
 	}
 	for _, command := range []string{"demo", "experiment run", "experiment compare", "experiment list", "report",
 		"emulate", "config check", "completion"} {
@@ -91,13 +96,17 @@
 	}
 }
 
+// TestVersionPrintsRevisionOrDigest guards against a version that does not identify the code under which results are
+// stored.
 func TestVersionPrintsRevisionOrDigest(t *testing.T) {
 	got := expect(t, statusSuccess, "version")
 	if !regexp.MustCompile(`^springfield (devel-)?[0-9a-f]{12}, built with go`).MatchString(got.stdout) {
-		t.Errorf("it prints %q", got.stdout)
+		t.Errorf("the version command prints %q", got.stdout)
 	}
 }
 
+// TestBadInputIsReportedOnOneLine guards against input errors with another exit status, without their reason, or on
+// more than one line.
 func TestBadInputIsReportedOnOneLine(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "missing")
 	broken := writeTestFile(t, "broken.toml", "name = \"x\"\nform = \"flat\"\ncolour = \"red\"\n")
@@ -108,7 +117,7 @@
 		{"demo --seed x", "--seed"},
 		{"demo --length 1h", "--length is 1h0m0s, want 1s to 20s"},
 		{"demo --gateway " + missing, missing},
-		{"demo --gateway " + text, "is no program"},
+		{"demo --gateway " + text, "is not an executable file"},
 		{"config check", "<file>"},
 		{"config check " + missing, missing},
 		{"completion tcsh", "tcsh"},
@@ -132,6 +141,8 @@
 	}
 }
 
+// TestConfigCheckReportsProblemsAndUsability guards against problems with a wrong line, severity or path, and against
+// an exit status of success for a file that a gateway cannot use.
 func TestConfigCheckReportsProblemsAndUsability(t *testing.T) {
 	const settings = `"settings": {"Balancers": 1,
 "Classes": [{"Name": "search", "AimMs": 400, "HardLimitMs": 1000, "Repeat": "idempotent", "Value": 1}],
--- a/cmd/springfield/measurement.go
+++ b/cmd/springfield/measurement.go
@@ -9,12 +9,12 @@
 	"springfield/internal/measure"
 )
 
-// measurement measures a run over sockets and checks its rules. It takes observations until it is finished, so that
-// what ends with the deployment does not count.
+// measurement records the results of a run over sockets and checks its rules. It ignores observations after finish, so
+// that requests that end with the shutdown of the deployment do not count.
 type measurement struct {
 	checker *invariant.Checker
 
-	mu       sync.Mutex // guards what follows: a run may be finished while it goes on
+	mu       sync.Mutex // guards the fields below and calls of checker: observations may arrive during finish
 	recorder *measure.LoadRecorder
 	finished bool
 }
@@ -37,7 +37,8 @@
 	m.recorder.Observe(at, observation)
 }
 
-// finish returns what was measured. It returns false if the load has not begun.
+// finish ends the measurement and returns the result and the report on the rules. It returns false if the load has not
+// begun.
 func (m *measurement) finish() (measure.Result, invariant.Report, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/cmd/springfield/report.go
+++ b/cmd/springfield/report.go
@@ -12,7 +12,7 @@
 	"springfield/internal/report"
 )
 
-// maxPageResults is the most results that a page shows side by side.
+// maxPageResults is the maximum number of results on a page, which shows them side by side.
 const maxPageResults = 24
 
 type reportCommand struct {
@@ -28,7 +28,7 @@
 	Format     string    `enum:"svg,png" default:"svg" help:"Format of the plots: ${enum}."`
 }
 
-// Help gives examples.
+// Help returns the detailed help, which consists of examples.
 func (*reportCommand) Help() string {
 	return `Examples:
 
@@ -36,7 +36,7 @@
     springfield report --store results.db --experiment calm --seed 1 --plots plots --format png`
 }
 
-// Run writes the page, and the plots if they are asked for.
+// Run writes the page, and the plots if a directory for them is given.
 func (c *reportCommand) Run(env *environment) error {
 	records, err := c.records()
 	if err != nil {
@@ -55,7 +55,8 @@
 	return c.writePlots(env, results)
 }
 
-// records returns the results that are selected.
+// records reads the results of the files or of the store and returns those that the flags select. Selecting none, or
+// more than a page shows, is an input error.
 func (c *reportCommand) records() ([]experiment.Record, error) {
 	var records []experiment.Record
 	switch {
@@ -83,23 +84,25 @@
 	case len(selected) == 0:
 		return nil, inputErrorf("no result is selected")
 	case len(selected) > maxPageResults:
-		return nil, inputErrorf("%d results are selected, a page shows %d: select by --decider, --label, --size or --seed",
+		return nil, inputErrorf("%d results are selected, want at most %d: select by --decider, --label, --size or --seed",
 			len(selected), maxPageResults)
 	}
 	return selected, nil
 }
 
+// matches reports whether the flags select a record.
 func (c *reportCommand) matches(record *experiment.Record) bool {
 	return matchesFilter(c.Experiment, record.Experiment) && matchesFilter(c.Decider, record.Decider) &&
 		matchesFilter(c.Label, record.Version) && matchesFilter(c.Size, record.Size) && matchesFilter(c.Seed, record.Seed)
 }
 
-// matchesFilter tells whether a value is among the chosen ones, or none are chosen.
+// matchesFilter reports whether filter contains value. An empty filter matches every value.
 func matchesFilter[T comparable](filter []T, value T) bool {
 	return len(filter) == 0 || slices.Contains(filter, value)
 }
 
-// namedResults names each result by what distinguishes it from the others.
+// namedResults names each result by the properties in which the records differ, or by its decider if they differ in
+// none. There must be at least one record.
 func namedResults(records []experiment.Record) []report.Named {
 	nameParts := []func(*experiment.Record) string{
 		func(r *experiment.Record) string { return r.Experiment },
@@ -126,6 +129,7 @@
 	return results
 }
 
+// writePlots writes each plot of each result to a file of its own.
 func (c *reportCommand) writePlots(env *environment, results []report.Named) error {
 	if err := os.MkdirAll(c.Plots, directoryMode); err != nil {
 		return &inputError{err}
@@ -149,7 +153,7 @@
 	return err
 }
 
-// sanitizeFileName replaces what does not belong in the name of a file.
+// sanitizeFileName replaces all characters except ASCII letters, digits and dots by "-".
 func sanitizeFileName(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '.' {
--- a/cmd/springfield/results.go
+++ b/cmd/springfield/results.go
@@ -12,7 +12,7 @@
 	"springfield/internal/report"
 )
 
-// writeFile creates a file and has it written.
+// writeFile creates or truncates a file and calls write with a buffered writer of it.
 func writeFile(path string, write func(io.Writer) error) (err error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, fileMode)
 	if err != nil {
@@ -26,23 +26,23 @@
 	return buffered.Flush()
 }
 
-// writePage writes a report of results as an HTML page.
+// writePage writes a report of results to a file, as an HTML page.
 func writePage(path string, results []report.Named) error {
 	return writeFile(path, func(w io.Writer) error { return report.WriteHTML(w, results) })
 }
 
-// writeResults writes records as JSON, one on each line.
+// writeResults writes records to a file as JSON, one record on each line.
 func writeResults(path string, records []experiment.Record) error {
 	return writeFile(path, func(w io.Writer) error { return experiment.WriteJSONLines(w, records) })
 }
 
-// readResults reads what writeResults has written.
+// readResults reads the records of a file that writeResults wrote.
 func readResults(path string) (records []experiment.Record, err error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, &inputError{err}
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read, so an error loses nothing
 	decoder := json.NewDecoder(bufio.NewReader(file))
 	for {
 		var record experiment.Record
@@ -57,11 +57,11 @@
 	}
 }
 
-// openStore opens a store of results, which must exist unless it is to be created.
+// openStore opens a store of results. A store that does not exist is an input error unless create is set.
 func openStore(path string, create bool) (*experiment.Store, error) {
 	if !create {
 		if _, err := os.Stat(path); err != nil {
-			return nil, inputErrorf("the store of results: %w", err)
+			return nil, inputErrorf("open the store of results: %w", err)
 		}
 	}
 	store, err := experiment.OpenStore(path)
--- a/cmd/springfield/soak.go
+++ b/cmd/springfield/soak.go
@@ -20,7 +20,7 @@
 	Keep     string    `type:"path" placeholder:"DIR" help:"Directory where files of runs with findings stay."`
 }
 
-// seedRange is a range of seeds in the form "A-B", or one seed.
+// seedRange is an inclusive range of seeds. Its text form is "A-B", or a single seed.
 type seedRange struct{ first, last uint64 }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -34,15 +34,16 @@
 		r.last, err = strconv.ParseUint(last, 10, 64)
 	}
 	if err != nil || r.last < r.first {
-		return fmt.Errorf("seeds %q: want A-B with A up to B, or one seed", text)
+		return fmt.Errorf("seeds %q: want A-B with A <= B, or one seed", text)
 	}
 	return nil
 }
 
-// Help tells what a soak does.
+// Help returns the detailed help, which describes a soak.
 func (*soakCommand) Help() string {
-	return `Each seed draws a small deployment of gateway processes and two or three faults that overlap in time, and looks
-for broken rules, crashes and violated invariants. A finding is printed with a command that runs its seed again.
+	return `Each seed determines a small deployment of gateway processes and two or three faults that overlap in time.
+The run is checked for broken rules, crashes and violated invariants. Each finding is printed with a command that
+repeats its seed.
 
 Examples:
 
@@ -50,7 +51,7 @@
     springfield soak --seeds 1-300 --gateway gateway-soak`
 }
 
-// Run runs the seeds.
+// Run runs all seeds, prints each run and a report, and returns an error if there are findings.
 func (c *soakCommand) Run(ctx context.Context, env *environment) error {
 	program, arguments, err := gatewayProgram(c.Gateway)
 	if err != nil {
@@ -79,12 +80,12 @@
 		err = writeErr
 	}
 	if err == nil && !report.Clean() {
-		err = fmt.Errorf("%s of %d found something", plural(len(withFindings), "run"), report.Runs)
+		err = fmt.Errorf("findings in %s of %d", plural(len(withFindings), "run"), report.Runs)
 	}
 	return err
 }
 
-// runPlan runs a plan in a directory of its own, which stays if something was found and files are to be kept.
+// runPlan runs a plan in a directory of its own. The directory is kept if --keep is set and the run has findings.
 func (c *soakCommand) runPlan(ctx context.Context, plan soak.Plan, options soak.Options) (soak.Result, error) {
 	directory, err := os.MkdirTemp(c.Keep, fmt.Sprintf("soak-%d-", plan.Seed))
 	if err != nil {
@@ -93,25 +94,25 @@
 	options.Directory = directory
 	result, err := soak.Run(ctx, plan, options)
 	if c.Keep == "" || len(result.Findings) == 0 {
-		_ = os.RemoveAll(directory) // what is left is a temporary file
+		_ = os.RemoveAll(directory) // a failure only leaves temporary files
 	}
 	return result, err
 }
 
-// writeRunResult writes a line on a run, and more if it has found something.
+// writeRunResult prints a line for a run, and two lines for each of its findings.
 func writeRunResult(w io.Writer, result *soak.Result) {
 	kinds := make([]string, 0, len(result.Plan.Faults))
 	for _, fault := range result.Plan.Faults {
 		kinds = append(kinds, string(fault.Kind))
 	}
 	_, _ = fmt.Fprintf(w, "seed %d: %d gateways, %s: %d requests, %d findings\n", result.Plan.Seed, result.Plan.Gateways,
-		strings.Join(kinds, " + "), result.Requests, len(result.Findings)) // the report at the end tells of errors
+		strings.Join(kinds, " + "), result.Requests, len(result.Findings)) // writing the report returns errors
 	for _, finding := range result.Findings {
-		_, _ = fmt.Fprintf(w, "  %s\n  again: springfield soak --seeds %d --keep DIR\n", finding, result.Plan.Seed)
+		_, _ = fmt.Fprintf(w, "  %s\n  repeat with: springfield soak --seeds %d --keep DIR\n", finding, result.Plan.Seed)
 	}
 }
 
-// shrinkFindings looks for the faults that each finding needs.
+// shrinkFindings reruns plans with fewer faults and prints the faults that the first finding of each result needs.
 func shrinkFindings(ctx context.Context, w io.Writer, withFindings []soak.Result,
 	run func(context.Context, soak.Plan) (soak.Result, error)) error {
 	for _, result := range withFindings {
--- a/cmd/springfield/table.go
+++ b/cmd/springfield/table.go
@@ -9,12 +9,13 @@
 	"springfield/internal/measure"
 )
 
-// writeRecordSummary writes the figures of one run: of all requests, and by plan and class.
+// writeRecordSummary prints the results of one run: a table with rows for all requests, each plan and each class, then
+// the value earned and whether the rules were kept.
 func writeRecordSummary(w io.Writer, record *experiment.Record) error {
 	const padding = 2
 	table := tabwriter.NewWriter(w, 0, 0, padding, ' ', tabwriter.AlignRight)
 	result := &record.Result
-	// The table writer keeps all lines until Flush, which returns the error.
+	// The table writer buffers all lines until Flush, which returns write errors.
 	_, _ = fmt.Fprintln(table, "\trequests\tserved\trejected\tfailed\tmissing\tp50, ms\tp99, ms\tover quota\t")
 	writeTableRow(table, "all", &result.Requests, &result.Latency, &result.Value)
 	for i := range result.Plans {
@@ -32,10 +33,12 @@
 	return writeRuleSummary(w, record)
 }
 
+// writeGroupRow writes the table row of a plan or class.
 func writeGroupRow(w io.Writer, kind string, group *measure.Group) {
 	writeTableRow(w, kind+" "+group.Name, &group.Requests, &group.Latency, &group.Value)
 }
 
+// writeTableRow writes one row of the table. It counts spoilt answers as failed.
 func writeTableRow(w io.Writer, name string, requests *measure.Outcomes, latency *measure.Latency,
 	value *measure.Value) {
 	failed := requests.Failed.Count + requests.Spoilt.Count
@@ -43,11 +46,11 @@
 		requests.Rejected.Count, failed, requests.Missing.Count, latency.P50, latency.P99, value.OverQuotaTries)
 }
 
-// writeRuleSummary tells whether the run has kept the rules.
+// writeRuleSummary prints whether the run kept the rules, and the count and first violation of each broken rule.
 func writeRuleSummary(w io.Writer, record *experiment.Record) error {
 	rules := &record.Rules
 	if rules.Kept() {
-		_, err := fmt.Fprintf(w, "rules kept: yes, by %s and %s\n", plural(int(rules.Requests), "request"),
+		_, err := fmt.Fprintf(w, "rules kept: yes, checked on %s and %s\n", plural(int(rules.Requests), "request"),
 			plural(int(rules.Attempts), "attempt"))
 		return err
 	}
@@ -55,7 +58,7 @@
 		return err
 	}
 	for _, violation := range rules.Violations {
-		_, err := fmt.Fprintf(w, "  %s: %s, at first: %s\n", violation.Rule, plural(violation.Count, "time"), violation.First)
+		_, err := fmt.Fprintf(w, "  %s: %s, first: %s\n", violation.Rule, plural(violation.Count, "time"), violation.First)
 		if err != nil {
 			return err
 		}
@@ -63,7 +66,7 @@
 	return nil
 }
 
-// brokenRulesError returns an error if the run has broken a rule.
+// brokenRulesError returns errRulesBroken if the run broke a rule.
 func brokenRulesError(record *experiment.Record) error {
 	if record.Rules.Kept() {
 		return nil
--- a/cmd/springfield/terminal.go
+++ b/cmd/springfield/terminal.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// isTerminal tells whether somebody may be watching what is written.
+// isTerminal reports whether w is a terminal.
 func isTerminal(w io.Writer) bool {
 	file, ok := w.(*os.File)
 	if !ok {
@@ -18,9 +18,9 @@
 	return err == nil
 }
 
-// progressLine shows one line that changes, on a terminal alone.
+// progressLine shows a line of progress that is updated in place. It shows nothing unless its output is a terminal.
 type progressLine struct {
-	writer io.Writer // nil: nothing is shown
+	writer io.Writer // nil if the output is not a terminal
 }
 
 func newProgressLine(w io.Writer) *progressLine {
@@ -30,14 +30,14 @@
 	return &progressLine{writer: w}
 }
 
-// show replaces the line.
+// show replaces the shown line.
 func (p *progressLine) show(format string, arguments ...any) {
 	const returnAndClear = "\r\x1b[K"
 	if p.writer != nil {
-		// A line of progress that cannot be written is not worth ending the work for.
+		// Write errors are ignored: a run goes on without its progress line.
 		_, _ = fmt.Fprintf(p.writer, returnAndClear+format, arguments...)
 	}
 }
 
-// clear removes the line.
+// clear removes the shown line.
 func (p *progressLine) clear() { p.show("") }
--- a/cmd/springfield/version.go
+++ b/cmd/springfield/version.go
@@ -16,7 +16,7 @@
 
 type versionCommand struct{}
 
-// Run prints the version and the versions of Go and of the module.
+// Run prints the version of this program and the Go version that built it.
 func (*versionCommand) Run(env *environment) error {
 	version, err := programVersion()
 	if err != nil {
@@ -30,8 +30,8 @@
 	return err
 }
 
-// programVersion names the code of this program, as results of runs are kept under it: the revision that it was built
-// from, or a digest of the program if that is not known or the files had been changed.
+// programVersion returns the version under which the results of this program are kept: the revision that it was built
+// from, or a digest of the executable if the revision is unknown or the working tree was modified.
 func programVersion() (string, error) {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		if revision := cleanRevision(info.Settings); revision != "" {
@@ -45,7 +45,7 @@
 	return develPrefix + digest[:versionDigits], nil
 }
 
-// cleanRevision returns the revision in the build settings, or "" if it is missing or the files had been changed.
+// cleanRevision returns the revision in the build settings, or "" if it is missing or the working tree was modified.
 func cleanRevision(settings []debug.BuildSetting) string {
 	var revision string
 	for _, setting := range settings {
@@ -61,6 +61,7 @@
 	return revision
 }
 
+// executableDigest returns the SHA-256 digest of this program's file, in hexadecimal.
 func executableDigest() (string, error) {
 	path, err := os.Executable()
 	if err != nil {
@@ -70,7 +71,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read, so an error loses nothing
 	hash := sha256.New()
 	if _, err := io.Copy(hash, file); err != nil {
 		return "", err
