--- a/cmd/springfield/completion_test.go
+++ b/cmd/springfield/completion_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// bashComplete prints what the script offers for the last argument.
+// bashComplete is a bash script that loads a completion script and prints what it offers for the last argument.
 const bashComplete = `
 source "$1"
 shift
@@ -15,6 +15,8 @@
 printf '%s ' "${COMPREPLY[@]}"
 `
 
+// TestBashCompletesCommandsFlagsAndValues runs the bash script. It guards against completions that are missing, that
+// belong to another command, or that fail for the form --flag=value.
 func TestBashCompletesCommandsFlagsAndValues(t *testing.T) {
 	script := writeTestFile(t, "completion", expect(t, statusSuccess, "completion", "bash").stdout)
 	file := writeTestFile(t, "experiment.toml", "")
@@ -34,11 +36,13 @@
 		arguments := append([]string{"-c", bashComplete, "bash", script, programName}, strings.Split(test.line, " ")...)
 		output, err := exec.Command("bash", arguments...).CombinedOutput()
 		if got := strings.TrimSpace(string(output)); err != nil || got != test.want {
-			t.Errorf("%q is completed with %q, error %v, want %q", test.line, got, err, test.want)
+			t.Errorf("completion of %q: got %q, error %v, want %q", test.line, got, err, test.want)
 		}
 	}
 }
 
+// TestZshAndFishScriptsCoverCommandsFlagsAndValues guards against scripts that lack commands, flags or values, show the
+// hidden gateway command, or are not valid in their shell.
 func TestZshAndFishScriptsCoverCommandsFlagsAndValues(t *testing.T) {
 	for shell, wanted := range map[string][]string{
 		"zsh": {"#compdef springfield", "_springfield_experiment_run()", "'run:Run experiment files",
@@ -50,11 +54,11 @@
 		script := expect(t, statusSuccess, "completion", shell).stdout
 		wantText(t, script, wanted...)
 		if strings.Contains(script, gatewayProcessName) {
-			t.Errorf("%s offers %s", shell, gatewayProcessName)
+			t.Errorf("the %s script offers the hidden command %s", shell, gatewayProcessName)
 		}
-		if path, err := exec.LookPath(shell); err == nil { // only some machines have them
+		if path, err := exec.LookPath(shell); err == nil { // the syntax is checked only where the shell is installed
 			if output, err := exec.Command(path, "-n", writeTestFile(t, shell, script)).CombinedOutput(); err != nil {
-				t.Errorf("%s cannot read its script: %v: %s", shell, err, output)
+				t.Errorf("%s cannot parse its script: %v: %s", shell, err, output)
 			}
 		}
 	}
--- a/cmd/springfield/demo_test.go
+++ b/cmd/springfield/demo_test.go
@@ -15,7 +15,8 @@
 	"springfield/internal/testkit"
 )
 
-// The gateways of the demo are processes of the test binary, as those of "go run" are of the program.
+// TestDemoServesRequestsAndKeepsTheRules guards against a demo that serves nothing, breaks a rule or leaves out a file.
+// Its gateway processes run the test binary itself, because no gateway program lies in the same directory.
 func TestDemoServesRequestsAndKeepsTheRules(t *testing.T) {
 	directory := filepath.Join(t.TempDir(), "out")
 	got := expect(t, statusSuccess, "demo", "--length", "2s", "--output", directory)
@@ -23,12 +24,12 @@
 		"rules kept: yes")
 	for _, name := range []string{reportFile, resultsFile, "gateway-0.log"} {
 		if info, err := os.Stat(filepath.Join(directory, name)); err != nil || info.Size() == 0 {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s is missing or empty, error %v", name, err)
 		}
 	}
 	records, err := readResults(filepath.Join(directory, resultsFile))
 	if err != nil || len(records) != 1 {
-		t.Fatalf("%d records, error %v", len(records), err)
+		t.Fatalf("the results hold %d records, error %v, want 1 record", len(records), err)
 	}
 	result := &records[0].Result
 	if result.Requests.Served.Count == 0 || len(result.Faults) != 1 || result.Gateways != 3 || result.Endpoints != 8 {
@@ -39,7 +40,7 @@
 	wantText(t, got.stdout, page+": 1 result")
 }
 
-// cancellingObserver ends a run once some requests were served.
+// cancellingObserver cancels a run once 20 requests were served.
 type cancellingObserver struct {
 	cancel func()
 	served int
@@ -55,6 +56,8 @@
 	}
 }
 
+// TestInterruptedRunReturnsItsMeasurement guards against an interrupt that discards the measurement, counts as a broken
+// rule or lets the load go on.
 func TestInterruptedRunReturnsItsMeasurement(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	program, arguments, err := gatewayProgram("")
@@ -66,17 +69,19 @@
 	record, err := interrupted.run(ctx, io.Discard)
 	var incomplete *incompleteRunError
 	if !errors.As(err, &incomplete) || !errors.Is(err, context.Canceled) {
-		t.Errorf("the error is %v, want an interrupt", err)
+		t.Errorf("the error is %v, want an incompleteRunError with context.Canceled", err)
 	}
 	if record == nil || record.Result.Requests.Served.Count < 20 || !record.Rules.Kept() {
 		t.Fatalf("the record is %+v", record)
 	}
 	if record.Result.LengthSeconds >= maxDemoLength.Seconds() {
-		t.Errorf("it took %g s", record.Result.LengthSeconds)
+		t.Errorf("the interrupted run took %g s, want less than its whole load", record.Result.LengthSeconds)
 	}
 }
 
-func TestInterruptEndsTheDemoAndItsGateways(t *testing.T) {
+// TestInterruptEndsTheDemoWithFailureStatus sends a real interrupt to a demo process. It guards against a demo that
+// goes on, ends with another exit status, or reports the interrupt on more than one line.
+func TestInterruptEndsTheDemoWithFailureStatus(t *testing.T) {
 	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -89,7 +94,7 @@
 	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = command.Process.Kill() }() // it has ended unless the test fails
+	defer func() { _ = command.Process.Kill() }() // the process is still running only if the test fails
 	testkit.Eventually(t, "a gateway that listens", func() bool {
 		log, err := os.ReadFile(filepath.Join(directory, "gateway-0.log"))
 		return err == nil && bytes.Contains(log, []byte("msg=listening"))
@@ -100,7 +105,7 @@
 	err = command.Wait()
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.ExitCode() != statusFailure {
-		t.Errorf("it ends with %v, want status %d", err, statusFailure)
+		t.Errorf("the demo ended with %v, want status %d", err, statusFailure)
 	}
 	if !isErrorLine(stderr.String()) {
 		t.Errorf("standard error is %q, want one line", stderr.String())
--- a/cmd/springfield/dependencies_test.go
+++ b/cmd/springfield/dependencies_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// gatewayPackages are all packages that the gateway may link besides the standard library.
+// gatewayPackages lists all packages outside the standard library that the gateway links.
 var gatewayPackages = []string{
 	"springfield/cmd/gateway",
 	"springfield/internal/clock",
@@ -25,6 +25,8 @@
 	"springfield/policy",
 }
 
+// TestGatewayLinksNoLabPackages guards against imports that bring packages of the lab or third-party packages into the
+// gateway's program.
 func TestGatewayLinksNoLabPackages(t *testing.T) {
 	const format = "{{if not .Standard}}{{.ImportPath}}{{end}}"
 	list := exec.Command("go", "list", "-deps", "-f", format, "springfield/cmd/gateway")
@@ -39,6 +41,6 @@
 		}
 	}
 	if len(linked) != len(gatewayPackages) {
-		t.Errorf("it links %d packages, want %d", len(linked), len(gatewayPackages))
+		t.Errorf("the gateway links %d packages, want %d", len(linked), len(gatewayPackages))
 	}
 }
--- a/cmd/springfield/experiment_test.go
+++ b/cmd/springfield/experiment_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// smallExperiment is virtual and short.
+// smallExperiment writes the file of a short experiment in virtual time and returns its path. The experiment has 4
+// runs: 2 deciders with 2 seeds each.
 func smallExperiment(t *testing.T) string {
 	t.Helper()
 	base, err := os.ReadFile("../../experiments/deployments/small.toml")
@@ -32,6 +33,8 @@
 `)
 }
 
+// TestExperimentRunIsStoredComparedAndReported guards against runs that are repeated although the store has them, and
+// against stored results that the commands for lists, comparisons and reports do not find.
 func TestExperimentRunIsStoredComparedAndReported(t *testing.T) {
 	file, directory := smallExperiment(t), t.TempDir()
 	store, results := filepath.Join(directory, "r.db"), filepath.Join(directory, "r.jsonl")
@@ -66,12 +69,14 @@
 	}
 	wantText(t, string(text), "even-split", "springfield", "<svg")
 	files, err := os.ReadDir(plots)
-	if err != nil || len(files) != 12 { // six of each result
+	if err != nil || len(files) != 12 { // 6 plots for each of 2 results
 		t.Errorf("%d plots, error %v", len(files), err)
 	}
 	wantText(t, expect(t, statusBadInput, "report", results, "--seed", "9").stderr, "no result is selected")
 }
 
+// TestResultNamesDistinguishResults guards against results with equal names on a page, and against names with parts in
+// which the results do not differ.
 func TestResultNamesDistinguishResults(t *testing.T) {
 	file, directory := smallExperiment(t), t.TempDir()
 	results := filepath.Join(directory, "r.jsonl")
