--- a/cmd/springfield/completion/completion.go
+++ b/cmd/springfield/completion/completion.go
@@ -1,5 +1,5 @@
-// Package completion writes scripts that complete command lines in bash, zsh and fish. The scripts hold all that they
-// need of kong's model of the command line: commands, flags and their values.
+// Package completion writes scripts that complete command lines in bash, zsh and fish. A script contains all commands,
+// flags and values of kong's model of the command line, so that completing does not run the program.
 package completion
 
 import (
@@ -11,17 +11,17 @@
 	"github.com/alecthomas/kong"
 )
 
-// Shell names a shell.
+// Shell is the name of a shell.
 type Shell string
 
-// The shells that scripts can be written for.
+// These are the shells that Write supports.
 const (
 	Bash Shell = "bash"
 	Zsh  Shell = "zsh"
 	Fish Shell = "fish"
 )
 
-// Write writes the script of a shell for an application.
+// Write writes the script that completes the command lines of an application in a shell.
 func Write(w io.Writer, shell Shell, application *kong.Application) error {
 	root := newCommand(application.Node, nil)
 	text := &script{writer: bufio.NewWriter(w)}
@@ -38,32 +38,34 @@
 	return text.writer.Flush()
 }
 
-// command is a command with what may follow it.
+// command describes a command and the words that may follow it.
 type command struct {
 	name      string
-	path      []string // of the commands that lead to it, without the program's name
+	path      []string // names from the first command to this one, without the program's name
 	help      string
 	flags     []flag
 	arguments []value
 	children  []*command
 }
 
+// flag describes a flag of a command.
 type flag struct {
 	name  string // without dashes
-	short string // a letter, or ""
+	short string // one letter, or "" if there is no short form
 	help  string
-	value value // of no use if the flag is boolean
+	value value // unused if the flag is boolean
 	bool  bool
 }
 
-// value tells what can stand for a flag's value or an argument.
+// value describes the values that a flag or an argument accepts.
 type value struct {
 	name    string
-	choices []string // nil: any
+	choices []string // nil if any text is accepted
 	files   fileKind
-	repeats bool // any number of them may follow
+	repeats bool // whether the argument may be given more than once
 }
 
+// fileKind is the kind of files that complete a value.
 type fileKind uint8
 
 const (
@@ -72,64 +74,65 @@
 	directories
 )
 
+// newCommand converts a command of kong's model and its subcommands. It leaves out hidden commands.
 func newCommand(node *kong.Node, path []string) *command {
-	made := &command{name: node.Name, path: path, help: node.Help}
+	result := &command{name: node.Name, path: path, help: node.Help}
 	for _, group := range node.AllFlags(true) {
-		for _, modelled := range group {
-			made.flags = append(made.flags, newFlag(modelled))
+		for _, kongFlag := range group {
+			result.flags = append(result.flags, newFlag(kongFlag))
 		}
 	}
 	for _, argument := range node.Positional {
-		made.arguments = append(made.arguments, newValue(argument))
+		result.arguments = append(result.arguments, newValue(argument))
 	}
 	for _, child := range node.Children {
 		if child.Type == kong.CommandNode && !child.Hidden {
 			childPath := append(append([]string{}, path...), child.Name)
-			made.children = append(made.children, newCommand(child, childPath))
+			result.children = append(result.children, newCommand(child, childPath))
 		}
 	}
-	return made
+	return result
 }
 
-func newFlag(modelled *kong.Flag) flag {
-	made := flag{name: modelled.Name, help: modelled.Help, value: newValue(modelled.Value), bool: modelled.IsBool()}
-	if modelled.Short != 0 {
-		made.short = string(modelled.Short)
+func newFlag(kongFlag *kong.Flag) flag {
+	result := flag{name: kongFlag.Name, help: kongFlag.Help, value: newValue(kongFlag.Value), bool: kongFlag.IsBool()}
+	if kongFlag.Short != 0 {
+		result.short = string(kongFlag.Short)
 	}
-	return made
+	return result
 }
 
-func newValue(modelled *kong.Value) value {
-	made := value{name: modelled.Name, repeats: modelled.IsCumulative()}
-	if modelled.Enum != "" {
-		made.choices = modelled.EnumSlice()
+func newValue(kongValue *kong.Value) value {
+	result := value{name: kongValue.Name, repeats: kongValue.IsCumulative()}
+	if kongValue.Enum != "" {
+		result.choices = kongValue.EnumSlice()
 	}
-	switch modelled.Tag.Type {
+	switch kongValue.Tag.Type {
 	case "existingfile", "path", "filecontent":
-		made.files = anyFiles
+		result.files = anyFiles
 	case "existingdir":
-		made.files = directories
+		result.files = directories
 	}
-	return made
+	return result
 }
 
-// forms returns the flag as it may be written: --name and, if there is one, -n.
-func (f *flag) forms() []string {
-	forms := []string{"--" + f.name}
+// spellings returns the forms in which the flag may be written: --name and, if it has a short form, -n.
+func (f *flag) spellings() []string {
+	spellings := []string{"--" + f.name}
 	if f.short != "" {
-		forms = append(forms, "-"+f.short)
+		spellings = append(spellings, "-"+f.short)
 	}
-	return forms
+	return spellings
 }
 
-// pathText returns the path as words.
+// pathText returns the names of the path, separated by spaces.
 func (c *command) pathText() string { return strings.Join(c.path, " ") }
 
-// each calls a function for the command and all commands within.
-func (c *command) each(visit func(*command)) {
+// walk calls visit for the command and for all commands below it.
+func (c *command) walk(visit func(*command)) {
 	visit(c)
 	for _, child := range c.children {
-		child.each(visit)
+		child.walk(visit)
 	}
 }
 
@@ -141,18 +144,18 @@
 	return names
 }
 
-// script writes lines; the writer keeps the first error.
+// script writes the lines of a shell script. The writer keeps the first error, which Flush returns.
 type script struct{ writer *bufio.Writer }
 
 func (s *script) line(format string, arguments ...any) {
 	_, _ = fmt.Fprintf(s.writer, format+"\n", arguments...) // Flush returns the error
 }
 
-// quote returns a text as a word in single quotes, as bash and zsh read it.
+// quote returns a text as one word in single quotes for bash and zsh.
 func quote(text string) string { return "'" + strings.ReplaceAll(text, "'", `'\''`) + "'" }
 
-// function returns a name for a shell function.
-func function(program string, path []string) string {
+// functionName returns the name of the shell function for a command of the program.
+func functionName(program string, path []string) string {
 	name := "_" + strings.Join(append([]string{program}, path...), "_")
 	return strings.Map(func(r rune) rune {
 		if r == '-' || r == '.' || r == ' ' {
--- a/cmd/springfield/demo.go
+++ b/cmd/springfield/demo.go
@@ -17,12 +17,13 @@
 const (
 	demoName = "demo"
 
-	// demoLimit ends a demo that takes longer than it should.
-	demoLimit = 40 * time.Second
+	// demoTimeout limits the start and the load of a demo. With the shutdown, the demo must take under 45 s.
+	demoTimeout = 40 * time.Second
 
-	// faultBegin and faultLength place the demo's fault in its load.
-	faultBegin  = 0.3
-	faultLength = 0.2
+	// faultBeginShare and faultLengthShare are the begin and the length of the demo's fault, as shares of the length of
+	// the load.
+	faultBeginShare  = 0.3
+	faultLengthShare = 0.2
 
 	maxDemoLength = 20 * time.Second
 	minDemoLength = time.Second
@@ -34,7 +35,7 @@
 	resultsFile = "results.jsonl"
 )
 
-var errDemoTooLong = fmt.Errorf("it took over %v", demoLimit)
+var errDemoTimeout = fmt.Errorf("the demo took over %v", demoTimeout)
 
 type demoCommand struct {
 	Output  string        `short:"o" type:"path" placeholder:"DIR" help:"Directory for a report, results and logs."`
@@ -43,10 +44,10 @@
 	Gateway string        `type:"path" placeholder:"PROGRAM" help:"${gateway_help}"`
 }
 
-// Help describes the deployment.
+// Help returns the detailed help, which describes the deployment.
 func (*demoCommand) Help() string {
-	return `Three gateway processes serve clients in front of eight endpoints, over sockets of this machine. One endpoint
-crashes during the load, and comes back with a small part of its capacity. The demo takes under 45 s.
+	return `Three gateway processes serve clients in front of eight endpoints, over local sockets. One endpoint crashes
+during the load and restarts with a small part of its capacity. The demo takes under 45 s.
 
 Examples:
 
@@ -54,18 +55,18 @@
     springfield demo --output out && xdg-open out/report.html`
 }
 
-// Run runs the deployment and prints a table of what was served.
+// Run runs the deployment and prints a summary of the results.
 func (c *demoCommand) Run(ctx context.Context, env *environment) error {
 	if c.Length < minDemoLength || c.Length > maxDemoLength {
 		return inputErrorf("--length is %v, want %v to %v", c.Length, minDemoLength, maxDemoLength)
 	}
-	ctx, cancel := context.WithTimeoutCause(ctx, demoLimit, errDemoTooLong)
+	ctx, cancel := context.WithTimeoutCause(ctx, demoTimeout, errDemoTimeout)
 	defer cancel()
 	program, arguments, err := gatewayProgram(c.Gateway)
 	if err != nil {
 		return err
 	}
-	directory, remove, err := outputDirectory(c.Output)
+	directory, remove, err := prepareOutputDirectory(c.Output)
 	if err != nil {
 		return err
 	}
@@ -76,25 +77,26 @@
 	if record == nil {
 		return err
 	}
-	return errors.Join(err, writeRecord(env.stdout, record), c.writeFiles(env, record), brokenRules(record))
+	return errors.Join(err, writeRecordSummary(env.stdout, record), c.writeFiles(env, record), brokenRulesError(record))
 }
 
-// demoScenario is the default deployment with an endpoint that crashes and starts again.
+// demoScenario returns the default scenario with one fault: an endpoint crashes and restarts.
 func demoScenario(length time.Duration) emulator.Scenario {
 	scenario := model.DefaultScenario()
 	scenario.Name = demoName
 	scenario.Length = emulator.Duration(length)
 	scenario.Faults = []emulator.Fault{{
 		Kind:   emulator.FaultStopEndpoints,
-		At:     emulator.Duration(faultBegin * float64(length)),
-		Length: emulator.Duration(faultLength * float64(length)),
+		At:     emulator.Duration(faultBeginShare * float64(length)),
+		Length: emulator.Duration(faultLengthShare * float64(length)),
 		Share:  1 / float64(scenario.Endpoints.Count),
 	}}
 	return scenario
 }
 
-// outputDirectory makes the directory, or a temporary one that the function removes.
-func outputDirectory(path string) (directory string, remove func(), err error) {
+// prepareOutputDirectory creates the directory at path, or a temporary directory if path is empty. The function remove
+// deletes the temporary directory; it keeps a directory at path.
+func prepareOutputDirectory(path string) (directory string, remove func(), err error) {
 	if path != "" {
 		if err := os.MkdirAll(path, directoryMode); err != nil {
 			return "", nil, &inputError{err}
@@ -102,21 +104,21 @@
 		return path, func() {}, nil
 	}
 	directory, err = os.MkdirTemp("", programName+"-")
-	return directory, func() { _ = os.RemoveAll(directory) }, err // what is left over lies in the temporary directory
+	return directory, func() { _ = os.RemoveAll(directory) }, err // a failure only leaves temporary files
 }
 
-// writeFiles writes the report and the results if a directory for them was named.
+// writeFiles writes the report and the results to the output directory, if there is one.
 func (c *demoCommand) writeFiles(env *environment, record *experiment.Record) error {
 	if c.Output == "" {
 		return nil
 	}
-	page := filepath.Join(c.Output, reportFile)
-	if err := writePage(page, []report.NamedResult{{Name: demoName, Result: record.Result}}); err != nil {
+	pagePath := filepath.Join(c.Output, reportFile)
+	if err := writePage(pagePath, []report.NamedResult{{Name: demoName, Result: record.Result}}); err != nil {
 		return err
 	}
 	if err := writeResults(filepath.Join(c.Output, resultsFile), []experiment.Record{*record}); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(env.stdout, "report: %s\n", page)
+	_, err := fmt.Fprintf(env.stdout, "report: %s\n", pagePath)
 	return err
 }
--- a/cmd/springfield/deployment.go
+++ b/cmd/springfield/deployment.go
@@ -15,41 +15,41 @@
 
 const progressInterval = 500 * time.Millisecond
 
-// deployment is a deployment on sockets that is about to be run once.
+// deployment describes a single run of an emulated deployment over sockets.
 type deployment struct {
-	name     string // under which its record is kept
+	name     string // name of the experiment in the record
 	scenario emulator.Scenario
 	seed     uint64
 
-	gateway     string // program of the gateways; "": they are started by hand
+	gateway     string // gateway program, or "" if the gateways are started by hand
 	gatewayArgs []string
 	directory   string
-	started     func(loopback.Addresses) error // nil, or called before the load
-	observer    emulator.Observer              // nil, or told of the run as the measurement is
+	onStarted   func(loopback.Addresses) error // if set, called after the start and before the load
+	observer    emulator.Observer              // if set, receives every observation of the run
 }
 
-// interruptedError is returned for a run that ended early. What was measured until then has been shown.
-type interruptedError struct{ cause error }
+// incompleteRunError reports a run that ended before its load was over. The run's record covers the time until then.
+type incompleteRunError struct{ cause error }
 
-func (e *interruptedError) Error() string {
+func (e *incompleteRunError) Error() string {
 	if errors.Is(e.cause, context.Canceled) {
-		return "interrupted: the figures end there, and requests that were open count as missing"
+		return "interrupted: the results end there, and requests that were still open count as missing"
 	}
 	return fmt.Sprintf("the run ended early: %v", e.cause)
 }
 
-func (e *interruptedError) Unwrap() error { return e.cause }
+func (e *incompleteRunError) Unwrap() error { return e.cause }
 
-// run runs the deployment. The record is nil if nothing was measured; if there is a record and an error, the run ended
-// early.
+// run runs the deployment and returns its record. The record is nil if nothing was measured. A record with an error is
+// that of a run that ended early or whose gateways crashed.
 func (d *deployment) run(ctx context.Context, stderr io.Writer) (*experiment.Record, error) {
 	version, err := programVersion()
 	if err != nil {
 		return nil, err
 	}
-	measured := newMeasurement(&d.scenario)
-	began := time.Now()
-	observers := emulator.Observers{measured}
+	runMeasurement := newMeasurement(&d.scenario)
+	startTime := time.Now()
+	observers := emulator.Observers{runMeasurement}
 	if d.observer != nil {
 		observers = append(observers, d.observer)
 	}
@@ -58,35 +58,35 @@
 		return nil, err
 	}
 	defer world.Close()
-	if d.started != nil {
-		if err := d.started(world.Addresses()); err != nil {
+	if d.onStarted != nil {
+		if err := d.onStarted(world.Addresses()); err != nil {
 			return nil, err
 		}
 	}
 	summary, err := d.drive(ctx, world, stderr)
-	result, rules, ok := measured.finish()
+	result, rules, ok := runMeasurement.finish()
 	if !ok {
 		return nil, fmt.Errorf("the run ended before its load began: %w", err)
 	}
 	record := &experiment.Record{Experiment: d.name, Version: version, Form: experiment.FormLoopback,
-		Decider: experiment.Springfield, Size: float64(d.scenario.Gateways), Seed: d.seed, Elapsed: time.Since(began),
+		Decider: experiment.Springfield, Size: float64(d.scenario.Gateways), Seed: d.seed, Elapsed: time.Since(startTime),
 		Result: result, Rules: rules}
 	switch {
 	case err != nil:
-		err = &interruptedError{cause: err}
+		err = &incompleteRunError{cause: err}
 	case summary.GatewayCrashes > 0:
-		err = fmt.Errorf("%s ended without being told to", plural(summary.GatewayCrashes, "gateway process"))
+		err = fmt.Errorf("%s exited unexpectedly", plural(summary.GatewayCrashes, "gateway"))
 	}
 	return record, err
 }
 
-// start starts the deployment. It ends with the context only until it has started: later an interrupt must not reset
-// the connections before the measurement is finished.
+// start starts the deployment. Cancelling ctx aborts the start but has no effect on a deployment that has started: an
+// interrupt must not reset the connections before the measurement is finished.
 func (d *deployment) start(ctx context.Context, observer emulator.Observer, stderr io.Writer) (*loopback.World, error) {
-	shown := newProgress(stderr)
-	shown.show("starting %s and %s", plural(d.scenario.Gateways, "gateway"),
+	line := newProgressLine(stderr)
+	line.show("starting %s and %s", plural(d.scenario.Gateways, "gateway"),
 		plural(d.scenario.Endpoints.Count, "endpoint"))
-	defer shown.clear()
+	defer line.clear()
 	worldCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() { cancel(context.Cause(ctx)) })
 	defer stop()
@@ -103,30 +103,30 @@
 		cancel(err)
 		return nil, fmt.Errorf("start the deployment: %w", err)
 	}
-	return world, nil // worldCtx is of no use once the world is closed
+	return world, nil // worldCtx must not be cancelled here: the world uses it until it is closed
 }
 
-// drive plays the load and shows how far it is.
+// drive runs the load and shows its progress.
 func (d *deployment) drive(ctx context.Context, world *loopback.World, stderr io.Writer) (loopback.Summary, error) {
-	shown := newProgress(stderr)
-	defer shown.clear()
-	driving, stop := context.WithCancel(ctx)
-	shownAll := make(chan struct{})
+	line := newProgressLine(stderr)
+	defer line.clear()
+	driveCtx, stop := context.WithCancel(ctx)
+	progressDone := make(chan struct{})
 	go func() {
-		defer close(shownAll)
+		defer close(progressDone)
 		ticker := time.NewTicker(progressInterval)
 		defer ticker.Stop()
 		for {
 			select {
-			case <-driving.Done():
+			case <-driveCtx.Done():
 				return
 			case <-ticker.C:
-				shown.show("%d requests sent, of a load of %v", world.Summary().Requests, d.scenario.Length.AsDuration())
+				line.show("%d requests sent, the load takes %v", world.Summary().Requests, d.scenario.Length.AsDuration())
 			}
 		}
 	}()
 	summary, err := world.Drive(ctx)
 	stop()
-	<-shownAll
+	<-progressDone
 	return summary, err
 }
--- a/cmd/springfield/experiment_results.go
+++ b/cmd/springfield/experiment_results.go
@@ -17,10 +17,10 @@
 	After      string `required:"" placeholder:"DECIDER[@VERSION]" help:"What is compared. ${side_help}"`
 }
 
-// Help gives examples.
+// Help returns the detailed help, which names the statistics of the comparison.
 func (*experimentCompareCommand) Help() string {
-	return `The differences have 95 % confidence intervals by Student's t distribution, over the pairs of runs with the
-same size, seed and scenario.
+	return `Differences are shown with 95 % confidence intervals, computed with Student's t distribution over the pairs of
+runs with the same size, seed and scenario.
 
 Examples:
 
@@ -52,31 +52,32 @@
 	return comparison.WriteText(env.stdout)
 }
 
-// parseSide parses DECIDER[@VERSION].
+// parseSide parses DECIDER[@VERSION]. Without a version it takes the only version of the decider's records, or else
+// that of this program. Error messages name the flag.
 func parseSide(flag, text string, records []experiment.Record) (experiment.Side, error) {
-	decider, version, versioned := strings.Cut(text, "@")
-	if decider == "" || versioned && version == "" {
+	decider, version, hasVersion := strings.Cut(text, "@")
+	if decider == "" || hasVersion && version == "" {
 		return experiment.Side{}, inputErrorf("%s is %q, want DECIDER or DECIDER@VERSION", flag, text)
 	}
-	if versioned {
+	if hasVersion {
 		return experiment.Side{Decider: decider, Version: version}, nil
 	}
 	versions := versionsOf(decider, records)
 	if len(versions) == 1 {
 		return experiment.Side{Decider: decider, Version: versions[0]}, nil
 	}
-	own, err := programVersion()
+	ownVersion, err := programVersion()
 	if err != nil {
 		return experiment.Side{}, err
 	}
-	if len(versions) > 1 && !slices.Contains(versions, own) {
-		return experiment.Side{}, inputErrorf("%s is %q without a version, and the store has %s", flag, text,
+	if len(versions) > 1 && !slices.Contains(versions, ownVersion) {
+		return experiment.Side{}, inputErrorf("%s is %q without a version, but the store has versions %s", flag, text,
 			strings.Join(versions, ", "))
 	}
-	return experiment.Side{Decider: decider, Version: own}, nil
+	return experiment.Side{Decider: decider, Version: ownVersion}, nil
 }
 
-// versionsOf returns the versions of a decider's records, sorted.
+// versionsOf returns the distinct versions of a decider's records, sorted.
 func versionsOf(decider string, records []experiment.Record) []string {
 	var versions []string
 	for i := range records {
@@ -94,9 +95,9 @@
 	Experiments []string `arg:"" optional:"" help:"Names of experiments; without them, all."`
 }
 
-// Help gives examples.
+// Help returns the detailed help, which describes the output.
 func (*experimentListCommand) Help() string {
-	return `Each line holds the means over the seeds of one version, decider and size.
+	return `Each line shows the means over all seeds for one version, decider and size.
 
 Examples:
 
@@ -104,7 +105,7 @@
     springfield experiment list calm herd --store all.db`
 }
 
-// Run prints the results.
+// Run prints the stored results of the experiments.
 func (c *experimentListCommand) Run(env *environment) error {
 	records, err := storedRecords(c.Store, c.Experiments)
 	if err != nil {
@@ -117,23 +118,24 @@
 	return experiment.WriteList(env.stdout, records)
 }
 
-// storedRecords reads the records of experiments, or of all. An experiment without records is bad input.
+// storedRecords reads the records of the named experiments from a store, or of all experiments without names. A name
+// without records is an input error.
 func storedRecords(path string, names []string) (records []experiment.Record, err error) {
 	store, err := openStore(path, false)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, store.Close()) }()
-	stored, err := store.Experiments()
+	storedNames, err := store.Experiments()
 	if err != nil {
 		return nil, fmt.Errorf("read %s: %w", path, err)
 	}
 	if len(names) == 0 {
-		names = stored
+		names = storedNames
 	}
 	for _, name := range names {
-		if !slices.Contains(stored, name) {
-			return nil, inputErrorf("%s has no results of experiment %q, only of %s", path, name, listed(stored))
+		if !slices.Contains(storedNames, name) {
+			return nil, inputErrorf("%s has no results of experiment %q; it has those of %s", path, name, joinNames(storedNames))
 		}
 		found, err := store.Records(name)
 		if err != nil {
@@ -144,8 +146,8 @@
 	return records, nil
 }
 
-// listed joins names, or tells that there are none.
-func listed(names []string) string {
+// joinNames joins names with commas. It returns "none" if there are none.
+func joinNames(names []string) string {
 	if len(names) == 0 {
 		return "none"
 	}
--- a/cmd/springfield/terminal.go
+++ b/cmd/springfield/terminal.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// isTerminal tells whether somebody may be watching what is written.
+// isTerminal reports whether w is a terminal.
 func isTerminal(w io.Writer) bool {
 	file, ok := w.(*os.File)
 	if !ok {
@@ -18,26 +18,26 @@
 	return err == nil
 }
 
-// progress shows one line that changes, on a terminal alone.
-type progress struct {
-	writer io.Writer // nil: nothing is shown
+// progressLine shows a line of progress that is updated in place. It shows nothing unless its output is a terminal.
+type progressLine struct {
+	writer io.Writer // nil if the output is not a terminal
 }
 
-func newProgress(w io.Writer) *progress {
+func newProgressLine(w io.Writer) *progressLine {
 	if !isTerminal(w) {
-		return &progress{}
+		return &progressLine{}
 	}
-	return &progress{writer: w}
+	return &progressLine{writer: w}
 }
 
-// show replaces the line.
-func (p *progress) show(format string, arguments ...any) {
+// show replaces the shown line.
+func (p *progressLine) show(format string, arguments ...any) {
 	const returnAndClear = "\r\x1b[K"
 	if p.writer != nil {
-		// A line of progress that cannot be written is not worth ending the work for.
+		// Write errors are ignored: a run goes on without its progress line.
 		_, _ = fmt.Fprintf(p.writer, returnAndClear+format, arguments...)
 	}
 }
 
-// clear removes the line.
-func (p *progress) clear() { p.show("") }
+// clear removes the shown line.
+func (p *progressLine) clear() { p.show("") }
