--- a/cmd/springfield/cli.go
+++ b/cmd/springfield/cli.go
@@ -26,16 +26,16 @@
 
 // commandLine declares the commands of the program for kong.
 type commandLine struct {
-	Demo       demoCommand       `cmd:"" help:"Run a small deployment on sockets of this machine."`
-	Experiment experimentCommand `cmd:"" help:"Run experiments, and compare their results."`
-	Report     reportCommand     `cmd:"" help:"Write an HTML page or plots of results."`
-	Soak       soakCommand       `cmd:"" help:"Run randomized faults against gateways, and look for broken rules."`
-	Emulate    emulateCommand    `cmd:"" help:"Emulate the surroundings of gateways that are started by hand."`
-	Config     configCommand     `cmd:"" help:"Work with configuration files of gateways."`
-	Completion completionCommand `cmd:"" help:"Print a script that completes command lines in a shell."`
+	Demo       demoCommand       `cmd:"" help:"Run a small deployment over local sockets."`
+	Experiment experimentCommand `cmd:"" help:"Run experiments and compare their results."`
+	Report     reportCommand     `cmd:"" help:"Write an HTML report of results, and optionally its plots."`
+	Soak       soakCommand       `cmd:"" help:"Run gateways under randomized faults and look for broken rules."`
+	Emulate    emulateCommand    `cmd:"" help:"Emulate endpoints, discovery and clients for gateways started by hand."`
+	Config     configCommand     `cmd:"" help:"Check configuration files of gateways."`
+	Completion completionCommand `cmd:"" help:"Print a shell completion script."`
 	Version    versionCommand    `cmd:"" help:"Print the version of this program."`
 
-	GatewayProcess gatewayProcessCommand `cmd:"" hidden:"" help:"Run as a gateway; demo and experiments start this."`
+	GatewayProcess gatewayProcessCommand `cmd:"" hidden:"" help:"Run as a gateway; started by other commands."`
 }
 
 // helpTexts holds help texts that are too long for a struct tag or that several tags share. Tags refer to them by key.
--- a/cmd/springfield/completion.go
+++ b/cmd/springfield/completion.go
@@ -3,7 +3,7 @@
 import "springfield/cmd/springfield/completion"
 
 type completionCommand struct {
-	Shell string `arg:"" enum:"bash,zsh,fish" placeholder:"SHELL" help:"One of ${enum}."`
+	Shell string `arg:"" enum:"bash,zsh,fish" placeholder:"SHELL" help:"Name of the shell: ${enum}."`
 }
 
 // Help returns the detailed help, which says how to load the script.
--- a/cmd/springfield/config.go
+++ b/cmd/springfield/config.go
@@ -8,11 +8,11 @@
 )
 
 type configCommand struct {
-	Check configCheckCommand `cmd:"" help:"Show everything that is wrong with a gateway's configuration file."`
+	Check configCheckCommand `cmd:"" help:"Report all problems in a gateway's configuration file."`
 }
 
 type configCheckCommand struct {
-	File string `arg:"" type:"path" placeholder:"FILE" help:"Configuration file, as RELAY_CONFIG names it."`
+	File string `arg:"" type:"path" placeholder:"FILE" help:"Configuration file (the gateway's RELAY_CONFIG)."`
 }
 
 // Help returns the detailed help, which describes the output.
--- a/cmd/springfield/demo.go
+++ b/cmd/springfield/demo.go
@@ -38,9 +38,9 @@
 var errDemoTimeout = fmt.Errorf("the demo took over %v", demoTimeout)
 
 type demoCommand struct {
-	Output  string        `short:"o" type:"path" placeholder:"DIR" help:"Directory for a report, results and logs."`
-	Seed    uint64        `default:"1" help:"Seed of the random numbers of clients and endpoints."`
-	Length  time.Duration `default:"20s" help:"Length of the load, from 1s to 20s."`
+	Output  string        `short:"o" type:"path" placeholder:"DIR" help:"Keep the report, results and logs in DIR."`
+	Seed    uint64        `default:"1" help:"Random seed of the clients and endpoints."`
+	Length  time.Duration `default:"20s" help:"Duration of the load, from 1s to 20s."`
 	Gateway string        `type:"path" placeholder:"PROGRAM" help:"${gateway_help}"`
 }
 
--- a/cmd/springfield/emulate.go
+++ b/cmd/springfield/emulate.go
@@ -15,9 +15,9 @@
 
 type emulateCommand struct {
 	File      string `arg:"" optional:"" type:"existingfile" placeholder:"FILE" help:"${emulate_file_help}"`
-	Seed      uint64 `default:"1" help:"Seed of the random numbers of clients and endpoints."`
-	Directory string `type:"path" placeholder:"DIR" help:"Directory for configurations of gateways (a temporary one)."`
-	Results   string `type:"path" placeholder:"FILE" help:"Also write the results as JSON."`
+	Seed      uint64 `default:"1" help:"Random seed of the clients and endpoints."`
+	Directory string `type:"path" placeholder:"DIR" help:"Directory for gateway configurations (default: temporary)."`
+	Results   string `type:"path" placeholder:"FILE" help:"Also write the results to this file, as JSON."`
 }
 
 // Help returns the detailed help, which says how the gateways are started.
--- a/cmd/springfield/experiment.go
+++ b/cmd/springfield/experiment.go
@@ -11,26 +11,26 @@
 )
 
 type experimentCommand struct {
-	Run     experimentRunCommand     `cmd:"" help:"Run experiment files, except for runs in the store."`
-	Compare experimentCompareCommand `cmd:"" help:"Compare two deciders or versions, paired by size and seed."`
+	Run     experimentRunCommand     `cmd:"" help:"Run experiment files; stored runs are not repeated."`
+	Compare experimentCompareCommand `cmd:"" help:"Compare the stored results of two deciders or versions."`
 	List    experimentListCommand    `cmd:"" help:"List the results in the store."`
 }
 
 // storeFlag is the flag that names the store of results. Commands embed it.
 type storeFlag struct {
-	Store string `default:"results.db" type:"path" placeholder:"FILE" help:"Store of results (${default})."`
+	Store string `default:"results.db" type:"path" placeholder:"FILE" help:"Store of results (default: ${default})."`
 }
 
 type experimentRunCommand struct {
 	storeFlag
 
 	Files     []string `arg:"" type:"existingfile" placeholder:"FILE" help:"Experiment files (TOML)."`
-	Label     string   `placeholder:"TEXT" help:"Version to keep results under; without it, the revision of this program."`
-	Fresh     bool     `help:"Also repeat runs that the store holds."`
-	Workers   int      `placeholder:"N" help:"Runs at once, at most; without it, as the file says, or one for each core."`
-	Results   string   `type:"path" placeholder:"FILE" help:"Also write the results as JSON, one run on each line."`
+	Label     string   `placeholder:"TEXT" help:"Version under which to store results (default: that of this program)."`
+	Fresh     bool     `help:"Repeat runs that are already in the store."`
+	Workers   int      `placeholder:"N" help:"Maximum concurrent runs (default: set by the file, or one per core)."`
+	Results   string   `type:"path" placeholder:"FILE" help:"Also write the results to this file, as JSON Lines."`
 	Gateway   string   `type:"path" placeholder:"PROGRAM" help:"${gateway_help}"`
-	Directory string   `type:"path" placeholder:"DIR" help:"Directory for logs of gateways in runs over sockets."`
+	Directory string   `type:"path" placeholder:"DIR" help:"Keep the gateway logs of runs over sockets in DIR."`
 }
 
 // Help returns the detailed help, which says how interrupted runs are resumed.
--- a/cmd/springfield/experiment_results.go
+++ b/cmd/springfield/experiment_results.go
@@ -13,8 +13,8 @@
 	storeFlag
 
 	Experiment string `arg:"" help:"Name of the experiment."`
-	Before     string `required:"" placeholder:"DECIDER[@VERSION]" help:"What is compared with. ${side_help}"`
-	After      string `required:"" placeholder:"DECIDER[@VERSION]" help:"What is compared. ${side_help}"`
+	Before     string `required:"" placeholder:"DECIDER[@VERSION]" help:"Baseline decider. ${side_help}"`
+	After      string `required:"" placeholder:"DECIDER[@VERSION]" help:"Decider compared with --before. ${side_help}"`
 }
 
 // Help returns the detailed help, which names the statistics of the comparison.
@@ -92,7 +92,7 @@
 type experimentListCommand struct {
 	storeFlag
 
-	Experiments []string `arg:"" optional:"" help:"Names of experiments; without them, all."`
+	Experiments []string `arg:"" optional:"" help:"Names of experiments (default: all)."`
 }
 
 // Help returns the detailed help, which describes the output.
--- a/cmd/springfield/report.go
+++ b/cmd/springfield/report.go
@@ -16,13 +16,13 @@
 const maxPageResults = 24
 
 type reportCommand struct {
-	Files      []string  `arg:"" optional:"" type:"existingfile" placeholder:"FILE" help:"Results of experiment run."`
-	Store      string    `type:"path" placeholder:"FILE" help:"Store of results, in place of files."`
-	Experiment []string  `placeholder:"NAME" help:"Only results of these experiments."`
-	Decider    []string  `placeholder:"NAME" help:"Only results of these deciders."`
-	Label      []string  `placeholder:"VERSION" help:"Only results of these versions."`
-	Size       []float64 `placeholder:"N" help:"Only results of these sizes."`
-	Seed       []uint64  `placeholder:"N" help:"Only results of these seeds."`
+	Files      []string  `arg:"" optional:"" type:"existingfile" placeholder:"FILE" help:"Result files (JSON Lines)."`
+	Store      string    `type:"path" placeholder:"FILE" help:"Read results from this store instead of files."`
+	Experiment []string  `placeholder:"NAME" help:"Select only these experiments."`
+	Decider    []string  `placeholder:"NAME" help:"Select only these deciders."`
+	Label      []string  `placeholder:"VERSION" help:"Select only these versions."`
+	Size       []float64 `placeholder:"N" help:"Select only these sizes (swept values, or numbers of gateways)."`
+	Seed       []uint64  `placeholder:"N" help:"Select only these seeds."`
 	Output     string    `short:"o" default:"report.html" type:"path" placeholder:"FILE" help:"HTML page (${default})."`
 	Plots      string    `type:"path" placeholder:"DIR" help:"Also write each plot to a file in this directory."`
 	Format     string    `enum:"svg,png" default:"svg" help:"Format of the plots: ${enum}."`
--- a/cmd/springfield/soak.go
+++ b/cmd/springfield/soak.go
@@ -14,10 +14,10 @@
 
 type soakCommand struct {
 	Seeds    seedRange `required:"" placeholder:"A-B" help:"Seeds to run, such as 1-300 or 17."`
-	Gateway  string    `type:"path" placeholder:"FILE" help:"Program of the gateways, built with -tags faultinjection."`
-	Parallel int       `default:"4" help:"Runs at a time; each has 10 to 14 gateway processes."`
-	Shrink   bool      `help:"Run each seed that finds something again with fewer faults."`
-	Keep     string    `type:"path" placeholder:"DIR" help:"Directory where files of runs with findings stay."`
+	Gateway  string    `type:"path" placeholder:"FILE" help:"Gateway program, built with -tags faultinjection."`
+	Parallel int       `default:"4" help:"Number of concurrent runs, each with 10 to 14 gateway processes."`
+	Shrink   bool      `help:"Rerun seeds with findings to determine which faults they need."`
+	Keep     string    `type:"path" placeholder:"DIR" help:"Keep the files of runs with findings in DIR."`
 }
 
 // seedRange is an inclusive range of seeds. Its text form is "A-B", or a single seed.
