--- a/cmd/springfield/completion/bash.go
+++ b/cmd/springfield/completion/bash.go
@@ -32,7 +32,8 @@
 	s.line("complete -F %s %s", name, root.name)
 }
 
-// writeBashCommandFinder writes a shell function that prints the path of the command that its arguments select.
+// writeBashCommandFinder writes a shell function that prints the path of the command that its arguments select. The
+// parameter name is the prefix of the names of the script's functions.
 func writeBashCommandFinder(s *script, root *command, name string) {
 	s.line("%s_command() {", name)
 	s.line("    local command= word")
@@ -51,7 +52,8 @@
 	s.line("")
 }
 
-// writeBashFlagValues writes the code that offers the values of the flag before the cursor.
+// writeBashFlagValues writes the code that offers the values of the flag before the cursor. The parameter name is the
+// prefix of the names of the script's functions.
 func writeBashFlagValues(s *script, root *command, name string) {
 	s.line("    case \"$command $previous\" in")
 	root.walk(func(c *command) {
@@ -73,7 +75,8 @@
 	s.line("    esac")
 }
 
-// writeBashCommands writes the code that offers the flags, subcommands and arguments of the current command.
+// writeBashCommands writes the code that offers the flags, subcommands and arguments of the current command. The
+// parameter name is the prefix of the names of the script's functions.
 func writeBashCommands(s *script, root *command, name string) {
 	s.line("    case \"$command\" in")
 	root.walk(func(c *command) {
@@ -96,7 +99,8 @@
 	s.line("    esac")
 }
 
-// writeBashValue writes the code that offers the choices or files of a value.
+// writeBashValue writes the code that offers the choices or files of a value. The parameter name is the prefix of the
+// names of the script's functions.
 func writeBashValue(s *script, v *value, name string) {
 	switch {
 	case len(v.choices) > 0:
--- a/cmd/springfield/completion/completion.go
+++ b/cmd/springfield/completion/completion.go
@@ -24,18 +24,18 @@
 // Write writes the script that completes the command lines of an application in a shell.
 func Write(w io.Writer, shell Shell, application *kong.Application) error {
 	root := newCommand(application.Node, nil)
-	text := &script{writer: bufio.NewWriter(w)}
+	output := &script{writer: bufio.NewWriter(w)}
 	switch shell {
 	case Bash:
-		writeBash(text, root)
+		writeBash(output, root)
 	case Zsh:
-		writeZsh(text, root)
+		writeZsh(output, root)
 	case Fish:
-		writeFish(text, root)
+		writeFish(output, root)
 	default:
 		return fmt.Errorf("there is no completion for shell %q", shell)
 	}
-	return text.writer.Flush()
+	return output.writer.Flush()
 }
 
 // command describes a command and the words that may follow it.
@@ -53,13 +53,13 @@
 	name  string // without dashes
 	short string // one letter, or "" if there is no short form
 	help  string
-	value value // unused if the flag is boolean
-	bool  bool
+	value value // unused if the flag takes no value
+	bool  bool  // whether the flag takes no value
 }
 
 // value describes the values that a flag or an argument accepts.
 type value struct {
-	name    string
+	name    string   // shown by zsh as a description of the value
 	choices []string // nil if any text is accepted
 	files   fileKind
 	repeats bool // whether the argument may be given more than once
@@ -69,7 +69,7 @@
 type fileKind uint8
 
 const (
-	noFiles fileKind = iota
+	noFiles fileKind = iota // the value is not a path
 	anyFiles
 	directories
 )
--- a/cmd/springfield/completion/fish.go
+++ b/cmd/springfield/completion/fish.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// writeFish writes the script for fish: a function that tests for the command before the cursor, and a call of complete
-// for each subcommand, flag and argument, with that test as its condition.
+// writeFish writes the script for fish. The script defines a function that tests which command precedes the cursor, and
+// calls complete for each subcommand, flag and argument, with that test as the condition.
 func writeFish(s *script, root *command) {
 	testFunction := "_" + functionName(root.name, []string{"at"})
 	s.line("# fish completion for %s", root.name)
@@ -58,7 +58,7 @@
 	case f.bool:
 	case f.value.files == anyFiles:
 		options += " -r" + fishValueOptions(&f.value)
-	default: // the value is required, and no files are offered
+	default: // -x: the flag requires a value and offers no files
 		options += " -x" + fishValueOptions(&f.value)
 	}
 	return options + " -d " + fishQuote(f.help)
--- a/cmd/springfield/completion/zsh.go
+++ b/cmd/springfield/completion/zsh.go
@@ -73,19 +73,19 @@
 
 // zshFlagSpec returns the specification of a flag for zsh's _arguments.
 func zshFlagSpec(f *flag) string {
-	text := "[" + strings.NewReplacer("[", `\[`, "]", `\]`).Replace(f.help) + "]"
+	suffix := "[" + strings.NewReplacer("[", `\[`, "]", `\]`).Replace(f.help) + "]"
 	if !f.bool {
-		text += ":" + zshValueSpec(&f.value)
+		suffix += ":" + zshValueSpec(&f.value)
 	}
 	long := "--" + f.name
 	if !f.bool {
 		long += "="
 	}
 	if f.short == "" {
-		return quote(long + text)
+		return quote(long + suffix)
 	}
 	short := "-" + f.short
-	return quote(fmt.Sprintf("(%s --%s)", short, f.name)) + "{" + quote(short) + "," + quote(long) + "}" + quote(text)
+	return quote(fmt.Sprintf("(%s --%s)", short, f.name)) + "{" + quote(short) + "," + quote(long) + "}" + quote(suffix)
 }
 
 // zshValueSpec returns the message and the action of a value in a specification for zsh's _arguments.
