--- a/cmd/springfield/completion_test.go
+++ b/cmd/springfield/completion_test.go
@@ -15,8 +15,8 @@
 printf '%s ' "${COMPREPLY[@]}"
 `
 
-// TestBashCompletesCommandsFlagsAndValues runs the bash script. It guards against completions that are missing, that
-// belong to another command, or that fail for the form --flag=value.
+// TestBashCompletesCommandsFlagsAndValues runs the bash script. It guards against completions that are missing,
+// that belong to another command, or that fail for the form --flag=value.
 func TestBashCompletesCommandsFlagsAndValues(t *testing.T) {
 	script := writeTestFile(t, "completion", expect(t, statusSuccess, "completion", "bash").stdout)
 	file := writeTestFile(t, "experiment.toml", "")
--- a/cmd/springfield/demo_test.go
+++ b/cmd/springfield/demo_test.go
@@ -16,7 +16,7 @@
 )
 
 // TestDemoServesRequestsAndKeepsTheRules guards against a demo that serves nothing, breaks a rule or leaves out a file.
-// Its gateway processes run the test binary itself, because no gateway program lies in the same directory.
+// Its gateway processes run the test binary itself, because there is no gateway program in its directory.
 func TestDemoServesRequestsAndKeepsTheRules(t *testing.T) {
 	directory := filepath.Join(t.TempDir(), "out")
 	got := expect(t, statusSuccess, "demo", "--length", "2s", "--output", directory)
@@ -33,19 +33,20 @@
 	}
 	result := &records[0].Result
 	if result.Requests.Served.Count == 0 || len(result.Faults) != 1 || result.Gateways != 3 || result.Endpoints != 8 {
-		t.Errorf("the result is %+v", result)
+		t.Errorf("the result is %+v, want served requests, 1 fault, 3 gateways and 8 endpoints", result)
 	}
 	page := filepath.Join(directory, "again.html")
 	got = expect(t, statusSuccess, "report", filepath.Join(directory, resultsFile), "-o", page)
 	wantText(t, got.stdout, page+": 1 result")
 }
 
-// cancellingObserver cancels a run once 20 requests were served.
+// cancellingObserver cancels a run once 20 requests have been served.
 type cancellingObserver struct {
 	cancel func()
 	served int
 }
 
+// Observe implements emulator.Observer.
 func (c *cancellingObserver) Observe(_ time.Duration, observation emulator.Observation) {
 	const servedBeforeCancel = 20
 	if answered, ok := observation.(emulator.RequestAnswered); ok && answered.Answer == emulator.AnswerServed {
@@ -72,7 +73,7 @@
 		t.Errorf("the error is %v, want an incompleteRunError with context.Canceled", err)
 	}
 	if record == nil || record.Result.Requests.Served.Count < 20 || !record.Rules.Passed() {
-		t.Fatalf("the record is %+v", record)
+		t.Fatalf("the record is %+v, want at least 20 served requests and no broken rule", record)
 	}
 	if record.Result.LengthSeconds >= maxDemoLength.Seconds() {
 		t.Errorf("the interrupted run took %g s, want less than its whole load", record.Result.LengthSeconds)
--- a/cmd/springfield/dependencies_test.go
+++ b/cmd/springfield/dependencies_test.go
@@ -25,19 +25,19 @@
 	"springfield/policy",
 }
 
-// TestGatewayLinksNoLabPackages guards against imports that bring packages of the lab or third-party packages into the
-// gateway's program.
+// TestGatewayLinksNoLabPackages guards against imports that link packages of the lab or third-party packages into the
+// gateway program.
 func TestGatewayLinksNoLabPackages(t *testing.T) {
 	const format = "{{if not .Standard}}{{.ImportPath}}{{end}}"
-	list := exec.Command("go", "list", "-deps", "-f", format, "springfield/cmd/gateway")
-	output, err := list.Output()
+	listCommand := exec.Command("go", "list", "-deps", "-f", format, "springfield/cmd/gateway")
+	output, err := listCommand.Output()
 	if err != nil {
-		t.Fatalf("%v: %s", err, output)
+		t.Fatalf("go list: %v: %s", err, output)
 	}
 	linked := strings.Fields(string(output))
 	for _, path := range linked {
 		if !slices.Contains(gatewayPackages, path) {
-			t.Errorf("the gateway links %s", path)
+			t.Errorf("the gateway links %s, which is not in gatewayPackages", path)
 		}
 	}
 	if len(linked) != len(gatewayPackages) {
--- a/cmd/springfield/experiment_test.go
+++ b/cmd/springfield/experiment_test.go
@@ -33,8 +33,8 @@
 `)
 }
 
-// TestExperimentRunIsStoredComparedAndReported guards against runs that are repeated although the store has them, and
-// against stored results that the commands for lists, comparisons and reports do not find.
+// TestExperimentRunIsStoredComparedAndReported guards against runs that are repeated although they are in the store,
+// and against list, compare and report commands that do not find the stored results.
 func TestExperimentRunIsStoredComparedAndReported(t *testing.T) {
 	file, directory := smallExperiment(t), t.TempDir()
 	store, results := filepath.Join(directory, "r.db"), filepath.Join(directory, "r.jsonl")
@@ -42,12 +42,12 @@
 	wantText(t, got.stdout, "springfield", "even-split", "v1")
 	records, err := readResults(results)
 	if err != nil || len(records) != 4 {
-		t.Fatalf("%d records, error %v", len(records), err)
+		t.Fatalf("got %d records, error %v, want 4 records", len(records), err)
 	}
 	expect(t, statusSuccess, "experiment", "run", file, "--store", store, "--results", results, "--label", "v1")
 	again, err := readResults(results)
 	if err != nil || len(again) != 4 || again[0].Elapsed != records[0].Elapsed {
-		t.Errorf("runs in the store were repeated: %d records, error %v", len(again), err)
+		t.Errorf("stored runs were repeated or lost: got %d records, error %v, want the same 4 records", len(again), err)
 	}
 
 	got = expect(t, statusSuccess, "experiment", "list", "small", "--store", store)
@@ -70,13 +70,13 @@
 	wantText(t, string(text), "even-split", "springfield", "<svg")
 	files, err := os.ReadDir(plots)
 	if err != nil || len(files) != 12 { // 6 plots for each of 2 results
-		t.Errorf("%d plots, error %v", len(files), err)
+		t.Errorf("got %d plots, error %v, want 12 plots", len(files), err)
 	}
 	wantText(t, expect(t, statusBadInput, "report", results, "--seed", "9").stderr, "no result is selected")
 }
 
-// TestResultNamesDistinguishResults guards against results with equal names on a page, and against names with parts in
-// which the results do not differ.
+// TestResultNamesDistinguishResults guards against results that have equal names on a page, and against names with
+// properties that are the same for all results.
 func TestResultNamesDistinguishResults(t *testing.T) {
 	file, directory := smallExperiment(t), t.TempDir()
 	results := filepath.Join(directory, "r.jsonl")
@@ -94,6 +94,6 @@
 		t.Errorf("names are %s, want %s", got, want)
 	}
 	if named := namedResults(records[:1]); named[0].Name != "springfield" {
-		t.Errorf("a single result is named %q", named[0].Name)
+		t.Errorf("a single result is named %q, want \"springfield\"", named[0].Name)
 	}
 }
--- a/cmd/springfield/main_test.go
+++ b/cmd/springfield/main_test.go
@@ -21,12 +21,13 @@
 	os.Exit(m.Run())
 }
 
-// output holds the exit status and the texts that a command line has written.
+// output holds the exit status and the output of a command line.
 type output struct {
 	status         int
 	stdout, stderr string
 }
 
+// execute runs a command line in this process.
 func execute(arguments ...string) output {
 	var stdout, stderr bytes.Buffer
 	status := run(arguments, &stdout, &stderr)
@@ -55,6 +56,7 @@
 	return strings.HasPrefix(text, programName+": ") && strings.Count(text, "\n") == 1 && strings.HasSuffix(text, "\n")
 }
 
+// wantText fails the test for each wanted part that text does not contain.
 func wantText(t *testing.T, text string, wanted ...string) {
 	t.Helper()
 	for _, part := range wanted {
@@ -64,11 +66,13 @@
 	}
 }
 
+// writeTestFile writes a file to a temporary directory and returns its path.
 func writeTestFile(t *testing.T, name, text string) string {
 	t.Helper()
 	return writeTestFileIn(t, t.TempDir(), name, text)
 }
 
+// writeTestFileIn writes a file to a directory and returns its path.
 func writeTestFileIn(t *testing.T, directory, name, text string) string {
 	t.Helper()
 	path := filepath.Join(directory, name)
@@ -86,8 +90,8 @@
 	if strings.Contains(got.stdout, gatewayProcessName) {
 		t.Errorf("the help shows %s", gatewayProcessName)
 	}
-	if none := expect(t, statusSuccess); none.stdout != got.stdout {
-		t.Errorf("without arguments the program does not print its help:\n%s", none.stdout)
+	if withoutArguments := expect(t, statusSuccess); withoutArguments.stdout != got.stdout {
+		t.Errorf("without arguments the program does not print its help:\n%s", withoutArguments.stdout)
 	}
 	for _, command := range []string{"demo", "experiment run", "experiment compare", "experiment list", "report",
 		"emulate", "config check", "completion"} {
@@ -101,23 +105,23 @@
 func TestVersionPrintsRevisionOrDigest(t *testing.T) {
 	got := expect(t, statusSuccess, "version")
 	if !regexp.MustCompile(`^springfield (devel-)?[0-9a-f]{12}, built with go`).MatchString(got.stdout) {
-		t.Errorf("the version command prints %q", got.stdout)
+		t.Errorf("the version command prints %q, want a revision or a digest", got.stdout)
 	}
 }
 
-// TestBadInputIsReportedOnOneLine guards against input errors with another exit status, without their reason, or on
-// more than one line.
+// TestBadInputIsReportedOnOneLine guards against input errors that have the wrong exit status, lack their reason or
+// take more than one line.
 func TestBadInputIsReportedOnOneLine(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "missing")
 	broken := writeTestFile(t, "broken.toml", "name = \"x\"\nform = \"flat\"\ncolour = \"red\"\n")
-	text := writeTestFile(t, "text", "no JSON")
+	notJSON := writeTestFile(t, "text", "no JSON")
 	for _, test := range []struct{ arguments, reason string }{
 		{"nonsense", "nonsense"},
 		{"demo --nonsense", "unknown flag --nonsense (see springfield demo --help)"},
 		{"demo --seed x", "--seed"},
 		{"demo --length 1h", "--length is 1h0m0s, want 1s to 20s"},
 		{"demo --gateway " + missing, missing},
-		{"demo --gateway " + text, "is not an executable file"},
+		{"demo --gateway " + notJSON, "is not an executable file"},
 		{"config check", "<file>"},
 		{"config check " + missing, missing},
 		{"completion tcsh", "tcsh"},
@@ -126,13 +130,13 @@
 		{"experiment run " + broken, "broken.toml:3: colour: unknown key"},
 		{"experiment run " + broken + " --workers=-1", "--workers is -1"},
 		{"experiment list --store " + missing, missing},
-		{"experiment list --store " + text, "text"},
+		{"experiment list --store " + notJSON, "text"},
 		{"experiment compare calm --before a --after b --store " + missing, missing},
 		{"experiment compare calm --before a", "--after"},
 		{"report", "neither a file"},
-		{"report " + text + " --store " + text, "both"},
-		{"report " + text, "record 1"},
-		{"report " + text + " --format gif", "gif"},
+		{"report " + notJSON + " --store " + notJSON, "both"},
+		{"report " + notJSON, "record 1"},
+		{"report " + notJSON + " --format gif", "gif"},
 		{gatewayProcessName, "RELAY_CONFIG"},
 	} {
 		t.Run(test.arguments, func(t *testing.T) {
