--- a/cmd/springfield/cli.go
+++ b/cmd/springfield/cli.go
@@ -13,7 +13,7 @@
 
 const programName = "springfield"
 
-const description = `Runs deployments of gateways on this machine and shows how well they serve.
+const description = `Runs emulated deployments of gateways on this machine and measures how well they serve requests.
 
 Exit status: 0 on success, 1 if a run failed, was interrupted or broke a rule, 2 for invalid input.
 
@@ -40,13 +40,14 @@
 
 // helpTexts holds help texts that are too long for a struct tag or that several tags share. Tags refer to them by key.
 var helpTexts = kong.Vars{
-	"gateway_help": "Gateway program for runs over sockets; by default, the gateway in the directory of this program, " +
-		"or else this program itself.",
-	"emulate_file_help": "Experiment file whose scenario is used; by default, a small deployment without faults.",
+	"gateway_help": "Gateway program for runs over sockets (default: the gateway in the directory of this program, " +
+		"or else this program itself).",
+	"emulate_file_help": "Experiment file whose scenario is used (default: a small deployment without faults).",
 	"side_help":         "The version defaults to the only one in the store, or else to that of this program.",
 }
 
-// environment holds the output streams and kong's model of the command line for the commands.
+// environment is passed to the Run method of each command. It holds the output streams and kong's model of the command
+// line.
 type environment struct {
 	stdout, stderr io.Writer
 	application    *kong.Application
@@ -64,13 +65,13 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	context.AfterFunc(ctx, stop) // restores the default, so that a second interrupt ends the program at once
+	context.AfterFunc(ctx, stop) // stop restores the default handling: a second interrupt ends the program at once
 	parsed.BindTo(ctx, (*context.Context)(nil))
 	return exitStatus(stderr, parsed.Run(&environment{stdout: stdout, stderr: stderr, application: parser.Model}))
 }
 
-// exitRequest is the value of the panic that stops the parsing after kong has shown the help. Kong would parse on if
-// its exit function returned.
+// exitRequest is the value of the panic that stops the parsing after kong has shown the help. Kong would continue to
+// parse if its exit function returned.
 type exitRequest int
 
 func newParser(stdout, stderr io.Writer) (*kong.Kong, error) {
--- a/cmd/springfield/config.go
+++ b/cmd/springfield/config.go
@@ -38,12 +38,12 @@
 			return err
 		}
 	}
-	failures := configcheck.Count(problems, configcheck.Error)
-	warnings := configcheck.Count(problems, configcheck.Warning)
-	if failures > 0 {
-		return inputErrorf("%s cannot be used: %s, %s", c.File, plural(failures, "error"), plural(warnings, "warning"))
+	errorCount := configcheck.Count(problems, configcheck.Error)
+	warningCount := configcheck.Count(problems, configcheck.Warning)
+	if errorCount > 0 {
+		return inputErrorf("%s cannot be used: %s, %s", c.File, plural(errorCount, "error"), plural(warningCount, "warning"))
 	}
-	_, err = fmt.Fprintf(env.stdout, "%s can be used: %s\n", c.File, plural(warnings, "warning"))
+	_, err = fmt.Fprintf(env.stdout, "%s can be used: %s\n", c.File, plural(warningCount, "warning"))
 	return err
 }
 
--- a/cmd/springfield/demo.go
+++ b/cmd/springfield/demo.go
@@ -15,6 +15,7 @@
 )
 
 const (
+	// demoName is the name of the demo's scenario, of its experiment in the record and of its result in the report.
 	demoName = "demo"
 
 	// demoTimeout limits the start and the load of a demo. With the shutdown, the demo must take under 45 s.
@@ -28,13 +29,16 @@
 	maxDemoLength = 20 * time.Second
 	minDemoLength = time.Second
 
+	// directoryMode and fileMode are the permissions of the directories and files that the commands create.
 	directoryMode = 0o755
 	fileMode      = 0o644
 
+	// reportFile and resultsFile are the names of the files in the demo's output directory.
 	reportFile  = "report.html"
 	resultsFile = "results.jsonl"
 )
 
+// errDemoTimeout is the reason for which a demo is cancelled after demoTimeout.
 var errDemoTimeout = fmt.Errorf("the demo took over %v", demoTimeout)
 
 type demoCommand struct {
@@ -94,8 +98,8 @@
 	return scenario
 }
 
-// prepareOutputDirectory creates the directory at path, or a temporary directory if path is empty. The function remove
-// deletes the temporary directory; it keeps a directory at path.
+// prepareOutputDirectory creates the directory at path, or a temporary directory if path is empty. The returned
+// function remove deletes a temporary directory and keeps a directory at path.
 func prepareOutputDirectory(path string) (directory string, remove func(), err error) {
 	if path != "" {
 		if err := os.MkdirAll(path, directoryMode); err != nil {
@@ -104,7 +108,7 @@
 		return path, func() {}, nil
 	}
 	directory, err = os.MkdirTemp("", programName+"-")
-	return directory, func() { _ = os.RemoveAll(directory) }, err // a failure only leaves temporary files
+	return directory, func() { _ = os.RemoveAll(directory) }, err // a failed removal only leaves temporary files
 }
 
 // writeFiles writes the report and the results to the output directory, if there is one.
--- a/cmd/springfield/deployment.go
+++ b/cmd/springfield/deployment.go
@@ -13,6 +13,7 @@
 	"springfield/internal/experiment"
 )
 
+// progressInterval is the interval at which the progress of a load is shown.
 const progressInterval = 500 * time.Millisecond
 
 // deployment describes a single run of an emulated deployment over sockets.
@@ -23,7 +24,7 @@
 
 	gateway     string // gateway program, or "" if the gateways are started by hand
 	gatewayArgs []string
-	directory   string
+	directory   string                         // for the configurations and logs of the gateways
 	onStarted   func(loopback.Addresses) error // if set, called after the start and before the load
 	observer    emulator.Observer              // if set, receives every observation of the run
 }
@@ -40,8 +41,8 @@
 
 func (e *incompleteRunError) Unwrap() error { return e.cause }
 
-// run runs the deployment and returns its record. The record is nil if nothing was measured. A record with an error is
-// that of a run that ended early or whose gateways crashed.
+// run runs the deployment and returns its record. The record is nil if nothing was measured. run returns both a record
+// and an error if the run ended early or a gateway crashed.
 func (d *deployment) run(ctx context.Context, stderr io.Writer) (*experiment.Record, error) {
 	version, err := programVersion()
 	if err != nil {
@@ -103,7 +104,7 @@
 		cancel(err)
 		return nil, fmt.Errorf("start the deployment: %w", err)
 	}
-	return world, nil // worldCtx must not be cancelled here: the world uses it until it is closed
+	return world, nil // worldCtx must not be cancelled here: the world uses worldCtx until Close
 }
 
 // drive runs the load and shows its progress.
--- a/cmd/springfield/emulate.go
+++ b/cmd/springfield/emulate.go
@@ -11,6 +11,7 @@
 	"springfield/internal/experiment"
 )
 
+// emulationName is the name of the experiment in the record of an emulation.
 const emulationName = "emulation"
 
 type emulateCommand struct {
@@ -23,8 +24,8 @@
 // Help returns the detailed help, which says how the gateways are started.
 func (*emulateCommand) Help() string {
 	return `Endpoints, discovery and clients run in this process. It writes a configuration file for each gateway, prints
-the commands that start the gateways, and begins the load once all of them are ready. An interrupt ends the run, and the
-results until then are shown.
+the commands that start the gateways, and begins the load once all of them are ready. An interrupt ends the run and
+shows the results until then.
 
 Examples:
 
@@ -56,7 +57,7 @@
 	return errors.Join(errs...)
 }
 
-// scenario returns the scenario of the experiment file, or the default scenario without a file.
+// scenario returns the scenario of the experiment file, or the default scenario if no file is given.
 func (c *emulateCommand) scenario() (emulator.Scenario, error) {
 	if c.File == "" {
 		return model.DefaultScenario(), nil
--- a/cmd/springfield/experiment.go
+++ b/cmd/springfield/experiment.go
@@ -35,7 +35,7 @@
 
 // Help returns the detailed help, which says how interrupted runs are resumed.
 func (*experimentRunCommand) Help() string {
-	return `After an interrupt, the same command repeats the runs that were interrupted; the store keeps the finished ones.
+	return `To continue after an interrupt, repeat the command: the store keeps the finished runs, and only the others run.
 
 Examples:
 
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = store.Close() }() // an error loses nothing: each record is on disk once it is put
+	defer func() { _ = store.Close() }() // an error loses nothing: Put has written each record to disk
 	options.Store = store
 	var records []experiment.Record
 	var errs []error
@@ -137,13 +137,13 @@
 
 // writeBrokenRules prints a line for each run that broke a rule, and returns an error if there is such a run.
 func writeBrokenRules(env *environment, records []experiment.Record) error {
-	brokenRuns := 0
+	violatingRuns := 0
 	for i := range records {
 		record := &records[i]
 		if record.Rules.Passed() {
 			continue
 		}
-		brokenRuns++
+		violatingRuns++
 		var rules []string
 		for _, rule := range record.Rules.Violations {
 			rules = append(rules, fmt.Sprintf("%s (%d)", rule.Rule, rule.Count))
@@ -154,8 +154,8 @@
 			return err
 		}
 	}
-	if brokenRuns > 0 {
-		return fmt.Errorf("%w in %s", errRulesBroken, plural(brokenRuns, "run"))
+	if violatingRuns > 0 {
+		return fmt.Errorf("%w in %s", errRulesBroken, plural(violatingRuns, "run"))
 	}
 	return nil
 }
--- a/cmd/springfield/experiment_results.go
+++ b/cmd/springfield/experiment_results.go
@@ -17,7 +17,7 @@
 	After      string `required:"" placeholder:"DECIDER[@VERSION]" help:"Decider compared with --before. ${side_help}"`
 }
 
-// Help returns the detailed help, which names the statistics of the comparison.
+// Help returns the detailed help, which explains the statistics of the comparison.
 func (*experimentCompareCommand) Help() string {
 	return `Differences are shown with 95 % confidence intervals, computed with Student's t distribution over the pairs of
 runs with the same size, seed and scenario.
@@ -28,7 +28,7 @@
     springfield experiment compare calm --before springfield@0ecc856f1a2b --after springfield@c03b0e71d2f0`
 }
 
-// Run prints the comparison.
+// Run compares the stored results of the two sides and prints the comparison.
 func (c *experimentCompareCommand) Run(env *environment) error {
 	records, err := storedRecords(c.Store, []string{c.Experiment})
 	if err != nil {
@@ -52,8 +52,8 @@
 	return comparison.WriteText(env.stdout)
 }
 
-// parseSide parses DECIDER[@VERSION]. Without a version it takes the only version of the decider's records, or else
-// that of this program. Error messages name the flag.
+// parseSide parses one side of a comparison, DECIDER[@VERSION]. The version defaults to the only one among the
+// decider's records, or else to that of this program. Error messages name the flag.
 func parseSide(flag, text string, records []experiment.Record) (experiment.Side, error) {
 	decider, version, hasVersion := strings.Cut(text, "@")
 	if decider == "" || hasVersion && version == "" {
@@ -97,7 +97,7 @@
 
 // Help returns the detailed help, which describes the output.
 func (*experimentListCommand) Help() string {
-	return `Each line shows the means over all seeds for one version, decider and size.
+	return `Each line shows the means over all seeds for one experiment, version, decider and size.
 
 Examples:
 
@@ -118,8 +118,8 @@
 	return experiment.WriteList(env.stdout, records)
 }
 
-// storedRecords reads the records of the named experiments from a store, or of all experiments without names. A name
-// without records is an input error.
+// storedRecords reads the records of the named experiments from a store, or those of all experiments if no names are
+// given. A name without records is an input error.
 func storedRecords(path string, names []string) (records []experiment.Record, err error) {
 	store, err := openStore(path, false)
 	if err != nil {
--- a/cmd/springfield/gateway_process.go
+++ b/cmd/springfield/gateway_process.go
@@ -13,16 +13,16 @@
 	"springfield/internal/gateway"
 )
 
-// gatewayProcessName is the command that runs this program as a gateway.
+// gatewayProcessName is the name of the command that runs this program as a gateway.
 const gatewayProcessName = "gateway-process"
 
-// These settings of a gateway's process are those of cmd/gateway.
+// These are the settings of a gateway process. They are the same as in cmd/gateway.
 const (
 	maxProcs          = 1    // GOMAXPROCS
 	gcPercent         = 400  // GOGC
 	heapShare         = 0.75 // fraction of the configured memory limit that the Go runtime may use
 	bytesPerMB        = 1 << 20
-	reloadQueueLength = 1 // one pending signal covers all that arrive meanwhile
+	reloadQueueLength = 1 // one pending reload covers all signals that arrive before it starts
 )
 
 type gatewayProcessCommand struct{}
--- a/cmd/springfield/gateway_program.go
+++ b/cmd/springfield/gateway_program.go
@@ -17,11 +17,11 @@
 	}
 	executable, err := os.Executable()
 	if err != nil {
-		return "", nil, fmt.Errorf("find the gateway program: %w", err)
+		return "", nil, fmt.Errorf("locate the gateway program: %w", err)
 	}
-	sibling := filepath.Join(filepath.Dir(executable), gatewayFileName)
-	if checkExecutable(sibling) == nil {
-		return sibling, nil, nil
+	gatewayPath := filepath.Join(filepath.Dir(executable), gatewayFileName)
+	if checkExecutable(gatewayPath) == nil {
+		return gatewayPath, nil, nil
 	}
 	return executable, []string{gatewayProcessName}, nil
 }
--- a/cmd/springfield/report.go
+++ b/cmd/springfield/report.go
@@ -36,7 +36,7 @@
     springfield report --store results.db --experiment calm --seed 1 --plots plots --format png`
 }
 
-// Run writes the page, and the plots if a directory for them is given.
+// Run writes the HTML page, and the plots if a directory for them is given.
 func (c *reportCommand) Run(env *environment) error {
 	records, err := c.records()
 	if err != nil {
@@ -101,8 +101,8 @@
 	return len(filter) == 0 || slices.Contains(filter, value)
 }
 
-// namedResults names each result by the properties in which the records differ, or by its decider if they differ in
-// none. There must be at least one record.
+// namedResults returns the results of the records with their names. A name consists of the properties in which the
+// records differ, or of the decider if they differ in none. There must be at least one record.
 func namedResults(records []experiment.Record) []report.NamedResult {
 	nameParts := []func(*experiment.Record) string{
 		func(r *experiment.Record) string { return r.Experiment },
@@ -117,14 +117,14 @@
 	})
 	results := make([]report.NamedResult, len(records))
 	for i := range records {
-		var names []string
+		var parts []string
 		for _, part := range nameParts {
-			names = append(names, part(&records[i]))
+			parts = append(parts, part(&records[i]))
 		}
-		if len(names) == 0 {
-			names = []string{records[i].Decider}
+		if len(parts) == 0 {
+			parts = []string{records[i].Decider}
 		}
-		results[i] = report.NamedResult{Name: strings.Join(names, ", "), Result: records[i].Result}
+		results[i] = report.NamedResult{Name: strings.Join(parts, ", "), Result: records[i].Result}
 	}
 	return results
 }
--- a/cmd/springfield/results.go
+++ b/cmd/springfield/results.go
@@ -12,7 +12,7 @@
 	"springfield/internal/report"
 )
 
-// writeFile creates or truncates a file and calls write with a buffered writer of it.
+// writeFile creates or truncates a file and calls write with a buffered writer for it.
 func writeFile(path string, write func(io.Writer) error) (err error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, fileMode)
 	if err != nil {
--- a/cmd/springfield/soak.go
+++ b/cmd/springfield/soak.go
@@ -65,22 +65,22 @@
 			Logger: slog.New(slog.DiscardHandler)})
 	}
 	report := soak.NewReport()
-	var withFindings []soak.Result
+	var resultsWithFindings []soak.Result
 	err = soak.RunSeeds(ctx, c.Seeds.first, c.Seeds.last, c.Parallel, run, func(result soak.Result) {
 		report.Add(result)
 		if len(result.Findings) > 0 {
-			withFindings = append(withFindings, result)
+			resultsWithFindings = append(resultsWithFindings, result)
 		}
 		writeRunResult(env.stdout, &result)
 	})
 	if err == nil && c.Shrink {
-		err = shrinkFindings(ctx, env.stdout, withFindings, run)
+		err = shrinkFindings(ctx, env.stdout, resultsWithFindings, run)
 	}
 	if writeErr := report.Write(env.stdout); err == nil {
 		err = writeErr
 	}
 	if err == nil && !report.Clean() {
-		err = fmt.Errorf("findings in %s of %d", plural(len(withFindings), "run"), report.Runs)
+		err = fmt.Errorf("findings in %s of %d", plural(len(resultsWithFindings), "run"), report.Runs)
 	}
 	return err
 }
@@ -94,28 +94,30 @@
 	options.Directory = directory
 	result, err := soak.Run(ctx, plan, options)
 	if c.Keep == "" || len(result.Findings) == 0 {
-		_ = os.RemoveAll(directory) // a failure only leaves temporary files
+		_ = os.RemoveAll(directory) // a failed removal only leaves temporary files
 	}
 	return result, err
 }
 
-// writeRunResult prints a line for a run, and two lines for each of its findings.
+// writeRunResult prints a line for a run, and two lines for each of its findings. It ignores write errors: the caller
+// writes the report to the same output afterwards and returns the error of that.
 func writeRunResult(w io.Writer, result *soak.Result) {
 	kinds := make([]string, 0, len(result.Plan.Faults))
 	for _, fault := range result.Plan.Faults {
 		kinds = append(kinds, string(fault.Kind))
 	}
 	_, _ = fmt.Fprintf(w, "seed %d: %d gateways, %s: %d requests, %d findings\n", result.Plan.Seed, result.Plan.Gateways,
-		strings.Join(kinds, " + "), result.Requests, len(result.Findings)) // writing the report returns errors
+		strings.Join(kinds, " + "), result.Requests, len(result.Findings))
 	for _, finding := range result.Findings {
 		_, _ = fmt.Fprintf(w, "  %s\n  repeat with: springfield soak --seeds %d --keep DIR\n", finding, result.Plan.Seed)
 	}
 }
 
-// shrinkFindings reruns plans with fewer faults and prints the faults that the first finding of each result needs.
-func shrinkFindings(ctx context.Context, w io.Writer, withFindings []soak.Result,
+// shrinkFindings reruns the plan of each result with fewer faults and prints the faults that are needed for its first
+// finding.
+func shrinkFindings(ctx context.Context, w io.Writer, resultsWithFindings []soak.Result,
 	run func(context.Context, soak.Plan) (soak.Result, error)) error {
-	for _, result := range withFindings {
+	for _, result := range resultsWithFindings {
 		finding := result.Findings[0].What
 		plan, err := soak.Shrink(ctx, result.Plan, finding, run)
 		if err != nil {
--- a/cmd/springfield/table.go
+++ b/cmd/springfield/table.go
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// brokenRulesError returns errRulesBroken if the run broke a rule.
+// brokenRulesError returns errRulesBroken if the run broke a rule, or else nil.
 func brokenRulesError(record *experiment.Record) error {
 	if record.Rules.Passed() {
 		return nil
--- a/cmd/springfield/version.go
+++ b/cmd/springfield/version.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	versionDigits = 12
-	develPrefix   = "devel-"
+	versionDigits = 12       // number of hexadecimal digits of a version
+	develPrefix   = "devel-" // marks a version that is a digest of the executable
 )
 
 type versionCommand struct{}
@@ -40,7 +40,7 @@
 	}
 	digest, err := executableDigest()
 	if err != nil {
-		return "", fmt.Errorf("find the version: %w", err)
+		return "", fmt.Errorf("determine the version: %w", err)
 	}
 	return develPrefix + digest[:versionDigits], nil
 }
