--- a/cmd/springfield/cli.go
+++ b/cmd/springfield/cli.go
@@ -13,7 +13,7 @@
 
 const programName = "springfield"
 
-const description = `Runs deployments of gateways on this machine and shows how well they serve.
+const description = `Runs emulated deployments of gateways on this machine and measures how well they serve requests.
 
 Exit status: 0 on success, 1 if a run failed, was interrupted or broke a rule, 2 for invalid input.
 
@@ -26,27 +26,28 @@
 
 // commandLine declares the commands of the program for kong.
 type commandLine struct {
-	Demo       demoCommand       `cmd:"" help:"Run a small deployment on sockets of this machine."`
-	Experiment experimentCommand `cmd:"" help:"Run experiments, and compare their results."`
-	Report     reportCommand     `cmd:"" help:"Write an HTML page or plots of results."`
-	Soak       soakCommand       `cmd:"" help:"Run randomized faults against gateways, and look for broken rules."`
-	Emulate    emulateCommand    `cmd:"" help:"Emulate the surroundings of gateways that are started by hand."`
-	Config     configCommand     `cmd:"" help:"Work with configuration files of gateways."`
-	Completion completionCommand `cmd:"" help:"Print a script that completes command lines in a shell."`
+	Demo       demoCommand       `cmd:"" help:"Run a small deployment over local sockets."`
+	Experiment experimentCommand `cmd:"" help:"Run experiments and compare their results."`
+	Report     reportCommand     `cmd:"" help:"Write an HTML report of results, and optionally its plots."`
+	Soak       soakCommand       `cmd:"" help:"Run gateways under randomized faults and look for broken rules."`
+	Emulate    emulateCommand    `cmd:"" help:"Emulate endpoints, discovery and clients for gateways started by hand."`
+	Config     configCommand     `cmd:"" help:"Check configuration files of gateways."`
+	Completion completionCommand `cmd:"" help:"Print a shell completion script."`
 	Version    versionCommand    `cmd:"" help:"Print the version of this program."`
 
-	GatewayProcess gatewayProcessCommand `cmd:"" hidden:"" help:"Run as a gateway; demo and experiments start this."`
+	GatewayProcess gatewayProcessCommand `cmd:"" hidden:"" help:"Run as a gateway; started by other commands."`
 }
 
 // helpTexts holds help texts that are too long for a struct tag or that several tags share. Tags refer to them by key.
 var helpTexts = kong.Vars{
-	"gateway_help": "Gateway program for runs over sockets; by default, the gateway in the directory of this program, " +
-		"or else this program itself.",
-	"emulate_file_help": "Experiment file whose scenario is used; by default, a small deployment without faults.",
+	"gateway_help": "Gateway program for runs over sockets (default: the gateway in the directory of this program, " +
+		"or else this program itself).",
+	"emulate_file_help": "Experiment file whose scenario is used (default: a small deployment without faults).",
 	"side_help":         "The version defaults to the only one in the store, or else to that of this program.",
 }
 
-// environment holds the output streams and kong's model of the command line for the commands.
+// environment is passed to the Run method of each command. It holds the output streams and kong's model of the command
+// line.
 type environment struct {
 	stdout, stderr io.Writer
 	application    *kong.Application
@@ -64,13 +65,13 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	context.AfterFunc(ctx, stop) // restores the default, so that a second interrupt ends the program at once
+	context.AfterFunc(ctx, stop) // stop restores the default handling: a second interrupt ends the program at once
 	parsed.BindTo(ctx, (*context.Context)(nil))
 	return exitStatus(stderr, parsed.Run(&environment{stdout: stdout, stderr: stderr, application: parser.Model}))
 }
 
-// exitRequest is the value of the panic that stops the parsing after kong has shown the help. Kong would parse on if
-// its exit function returned.
+// exitRequest is the value of the panic that stops the parsing after kong has shown the help. Kong would continue to
+// parse if its exit function returned.
 type exitRequest int
 
 func newParser(stdout, stderr io.Writer) (*kong.Kong, error) {
--- a/cmd/springfield/config.go
+++ b/cmd/springfield/config.go
@@ -8,11 +8,11 @@
 )
 
 type configCommand struct {
-	Check configCheckCommand `cmd:"" help:"Show everything that is wrong with a gateway's configuration file."`
+	Check configCheckCommand `cmd:"" help:"Report all problems in a gateway's configuration file."`
 }
 
 type configCheckCommand struct {
-	File string `arg:"" type:"path" placeholder:"FILE" help:"Configuration file, as RELAY_CONFIG names it."`
+	File string `arg:"" type:"path" placeholder:"FILE" help:"Configuration file (the gateway's RELAY_CONFIG)."`
 }
 
 // Help returns the detailed help, which describes the output.
@@ -38,12 +38,12 @@
 			return err
 		}
 	}
-	failures := configcheck.Count(problems, configcheck.Error)
-	warnings := configcheck.Count(problems, configcheck.Warning)
-	if failures > 0 {
-		return inputErrorf("%s cannot be used: %s, %s", c.File, plural(failures, "error"), plural(warnings, "warning"))
+	errorCount := configcheck.Count(problems, configcheck.Error)
+	warningCount := configcheck.Count(problems, configcheck.Warning)
+	if errorCount > 0 {
+		return inputErrorf("%s cannot be used: %s, %s", c.File, plural(errorCount, "error"), plural(warningCount, "warning"))
 	}
-	_, err = fmt.Fprintf(env.stdout, "%s can be used: %s\n", c.File, plural(warnings, "warning"))
+	_, err = fmt.Fprintf(env.stdout, "%s can be used: %s\n", c.File, plural(warningCount, "warning"))
 	return err
 }
 
--- a/cmd/springfield/emulate.go
+++ b/cmd/springfield/emulate.go
@@ -11,20 +11,21 @@
 	"springfield/internal/experiment"
 )
 
+// emulationName is the name of the experiment in the record of an emulation.
 const emulationName = "emulation"
 
 type emulateCommand struct {
 	File      string `arg:"" optional:"" type:"existingfile" placeholder:"FILE" help:"${emulate_file_help}"`
-	Seed      uint64 `default:"1" help:"Seed of the random numbers of clients and endpoints."`
-	Directory string `type:"path" placeholder:"DIR" help:"Directory for configurations of gateways (a temporary one)."`
-	Results   string `type:"path" placeholder:"FILE" help:"Also write the results as JSON."`
+	Seed      uint64 `default:"1" help:"Random seed of the clients and endpoints."`
+	Directory string `type:"path" placeholder:"DIR" help:"Directory for gateway configurations (default: temporary)."`
+	Results   string `type:"path" placeholder:"FILE" help:"Also write the results to this file, as JSON."`
 }
 
 // Help returns the detailed help, which says how the gateways are started.
 func (*emulateCommand) Help() string {
 	return `Endpoints, discovery and clients run in this process. It writes a configuration file for each gateway, prints
-the commands that start the gateways, and begins the load once all of them are ready. An interrupt ends the run, and the
-results until then are shown.
+the commands that start the gateways, and begins the load once all of them are ready. An interrupt ends the run and
+shows the results until then.
 
 Examples:
 
@@ -56,7 +57,7 @@
 	return errors.Join(errs...)
 }
 
-// scenario returns the scenario of the experiment file, or the default scenario without a file.
+// scenario returns the scenario of the experiment file, or the default scenario if no file is given.
 func (c *emulateCommand) scenario() (emulator.Scenario, error) {
 	if c.File == "" {
 		return model.DefaultScenario(), nil
--- a/cmd/springfield/report.go
+++ b/cmd/springfield/report.go
@@ -16,13 +16,13 @@
 const maxPageResults = 24
 
 type reportCommand struct {
-	Files      []string  `arg:"" optional:"" type:"existingfile" placeholder:"FILE" help:"Results of experiment run."`
-	Store      string    `type:"path" placeholder:"FILE" help:"Store of results, in place of files."`
-	Experiment []string  `placeholder:"NAME" help:"Only results of these experiments."`
-	Decider    []string  `placeholder:"NAME" help:"Only results of these deciders."`
-	Label      []string  `placeholder:"VERSION" help:"Only results of these versions."`
-	Size       []float64 `placeholder:"N" help:"Only results of these sizes."`
-	Seed       []uint64  `placeholder:"N" help:"Only results of these seeds."`
+	Files      []string  `arg:"" optional:"" type:"existingfile" placeholder:"FILE" help:"Result files (JSON Lines)."`
+	Store      string    `type:"path" placeholder:"FILE" help:"Read results from this store instead of files."`
+	Experiment []string  `placeholder:"NAME" help:"Select only these experiments."`
+	Decider    []string  `placeholder:"NAME" help:"Select only these deciders."`
+	Label      []string  `placeholder:"VERSION" help:"Select only these versions."`
+	Size       []float64 `placeholder:"N" help:"Select only these sizes (swept values, or numbers of gateways)."`
+	Seed       []uint64  `placeholder:"N" help:"Select only these seeds."`
 	Output     string    `short:"o" default:"report.html" type:"path" placeholder:"FILE" help:"HTML page (${default})."`
 	Plots      string    `type:"path" placeholder:"DIR" help:"Also write each plot to a file in this directory."`
 	Format     string    `enum:"svg,png" default:"svg" help:"Format of the plots: ${enum}."`
@@ -36,7 +36,7 @@
     springfield report --store results.db --experiment calm --seed 1 --plots plots --format png`
 }
 
-// Run writes the page, and the plots if a directory for them is given.
+// Run writes the HTML page, and the plots if a directory for them is given.
 func (c *reportCommand) Run(env *environment) error {
 	records, err := c.records()
 	if err != nil {
@@ -101,8 +101,8 @@
 	return len(filter) == 0 || slices.Contains(filter, value)
 }
 
-// namedResults names each result by the properties in which the records differ, or by its decider if they differ in
-// none. There must be at least one record.
+// namedResults returns the results of the records with their names. A name consists of the properties in which the
+// records differ, or of the decider if they differ in none. There must be at least one record.
 func namedResults(records []experiment.Record) []report.NamedResult {
 	nameParts := []func(*experiment.Record) string{
 		func(r *experiment.Record) string { return r.Experiment },
@@ -117,14 +117,14 @@
 	})
 	results := make([]report.NamedResult, len(records))
 	for i := range records {
-		var names []string
+		var parts []string
 		for _, part := range nameParts {
-			names = append(names, part(&records[i]))
+			parts = append(parts, part(&records[i]))
 		}
-		if len(names) == 0 {
-			names = []string{records[i].Decider}
+		if len(parts) == 0 {
+			parts = []string{records[i].Decider}
 		}
-		results[i] = report.NamedResult{Name: strings.Join(names, ", "), Result: records[i].Result}
+		results[i] = report.NamedResult{Name: strings.Join(parts, ", "), Result: records[i].Result}
 	}
 	return results
 }
