--- a/internal/emulator/model/discovery.go
+++ b/internal/emulator/model/discovery.go
@@ -12,7 +12,7 @@
 )
 
 // maxNotificationDelay is the time after which a gateway counts as notified of a change even if the change has not
-// arrived. It counts from when discovery had the change and could be reached.
+// arrived. The time begins once discovery has the change and is reachable.
 const maxNotificationDelay = 6 * time.Second
 
 // Deliver passes an update of the endpoint list to a gateway. The list is shared and must not be changed.
@@ -30,8 +30,8 @@
 	changes     []change                              // changes[i] led to version i+1
 	watches     []*watch                              // open watches, in the order in which they were opened
 	notified    []uint64                              // by gateway: version that it counts as notified of
-	down        bool
-	delayFactor float64
+	down        bool                                  // whether discovery is unreachable
+	delayFactor float64                               // factor on the delays of updates
 
 	sorted        []policy.Endpoint // complete list of version sortedVersion, by id
 	sortedVersion uint64
@@ -50,7 +50,7 @@
 	entry policy.Endpoint
 }
 
-// watch is a gateway's watch of the endpoint list.
+// watch is a gateway's subscription to the endpoint list.
 type watch struct {
 	gateway   int
 	deliver   Deliver
@@ -133,12 +133,12 @@
 	return func() { d.close(w) }
 }
 
-// SetDown makes discovery unreachable or reachable again. Once it is reachable again, open watches resume: changes
-// whose delay has passed are delivered at once.
+// SetDown makes discovery unreachable or reachable again. Open watches resume once discovery is reachable again, and
+// deliver at once the changes whose delay has passed.
 func (d *Discovery) SetDown(down bool) {
-	returned := d.down && !down
+	reachableAgain := d.down && !down
 	d.down = down
-	if !returned {
+	if !reachableAgain {
 		return
 	}
 	for _, w := range slices.Clone(d.watches) {
@@ -163,6 +163,7 @@
 // SetListDelayFactor multiplies the delays of updates by a factor. A factor of 1 restores the usual delays.
 func (d *Discovery) SetListDelayFactor(factor float64) { d.delayFactor = max(0, factor) }
 
+// version returns the version of the list, which is the number of changes so far.
 func (d *Discovery) version() uint64 { return uint64(len(d.changes)) }
 
 func (d *Discovery) close(w *watch) {
@@ -217,9 +218,9 @@
 	if w.closed || w.silent || d.down {
 		return
 	}
-	newest := d.scheduler.Now() - d.scaleDelay(d.spec.DelayMin.AsDuration())
+	cutoff := d.scheduler.Now() - d.scaleDelay(d.spec.DelayMin.AsDuration())
 	through := w.version
-	for through < d.version() && (through == w.version || d.changes[through].at <= newest) {
+	for through < d.version() && (through == w.version || d.changes[through].at <= cutoff) {
 		through++
 	}
 	list := d.changedEntries(w.version, through)
@@ -261,7 +262,7 @@
 	})
 }
 
-// drawDelay draws the delay of an update.
+// drawDelay draws the time from a change until a watch delivers it.
 func (d *Discovery) drawDelay() time.Duration {
 	shortest, longest := d.spec.DelayMin.AsDuration(), d.spec.DelayMax.AsDuration()
 	return d.scaleDelay(shortest + time.Duration(d.random.Float64()*float64(max(0, longest-shortest))))
--- a/internal/emulator/model/discovery_test.go
+++ b/internal/emulator/model/discovery_test.go
@@ -17,7 +17,8 @@
 	list    []policy.Endpoint
 }
 
-// discoveryTest is a discovery service with one entry, and the updates that watches of gateway 0 have delivered.
+// discoveryTest is a discovery service whose list starts with one entry. It records the updates that watches of
+// gateway 0 deliver.
 type discoveryTest struct {
 	*Discovery
 	scheduler *emulator.VirtualScheduler
@@ -25,10 +26,10 @@
 	cancel    func() // cancels the latest watch
 }
 
-const discoveryStart = 1000 * time.Second
+const discoveryTestStart = 1000 * time.Second
 
 func newDiscoveryTest(spec emulator.Discovery) *discoveryTest {
-	scheduler := emulator.NewVirtualScheduler(discoveryStart)
+	scheduler := emulator.NewVirtualScheduler(discoveryTestStart)
 	d := &discoveryTest{
 		Discovery: NewDiscovery(spec, scheduler, rand.New(rand.NewPCG(1, 1))),
 		scheduler: scheduler,
@@ -39,24 +40,26 @@
 	return d
 }
 
+// watch opens a watch for gateway 0.
 func (d *discoveryTest) watch() {
 	d.cancel = d.Watch(0, func(kind policy.UpdateKind, version uint64, list []policy.Endpoint) {
-		at := d.scheduler.Now() - discoveryStart
+		at := d.scheduler.Now() - discoveryTestStart
 		d.delivered = append(d.delivered, delivery{at: at, kind: kind, version: version, list: list})
 	})
 }
 
 // advanceTo runs the scheduler up to the given time after discoveryStart.
-func (d *discoveryTest) advanceTo(passed time.Duration) {
-	d.scheduler.RunUntil(discoveryStart + passed)
+func (d *discoveryTest) advanceTo(elapsed time.Duration) {
+	d.scheduler.RunUntil(discoveryTestStart + elapsed)
 }
 
-func lateDiscovery() emulator.Discovery {
+// delayedDiscovery returns a pushed discovery that delays changes by 1s to 2s.
+func delayedDiscovery() emulator.Discovery {
 	return emulator.Discovery{DelayMin: emulator.Duration(time.Second), DelayMax: emulator.Duration(2 * time.Second)}
 }
 
 func TestWatchDeliversFullListThenDelayedChanges(t *testing.T) {
-	d := newDiscoveryTest(lateDiscovery())
+	d := newDiscoveryTest(delayedDiscovery())
 	if len(d.delivered) != 1 || d.delivered[0].kind != policy.UpdateFull || len(d.delivered[0].list) != 1 {
 		t.Fatalf("first updates %+v, want one full list with one entry", d.delivered)
 	}
@@ -85,7 +88,7 @@
 }
 
 func TestListOmitsRemovedEndpoints(t *testing.T) {
-	d := newDiscoveryTest(lateDiscovery())
+	d := newDiscoveryTest(delayedDiscovery())
 	d.Set(policy.Endpoint{ID: 3, State: policy.StateReady})
 	d.Set(policy.Endpoint{ID: 2, State: policy.StateDraining})
 	d.Set(policy.Endpoint{ID: 1, State: policy.StateRemoved})
@@ -96,7 +99,7 @@
 }
 
 func TestDelayFactorMultipliesDelays(t *testing.T) {
-	d := newDiscoveryTest(lateDiscovery())
+	d := newDiscoveryTest(delayedDiscovery())
 	d.SetListDelayFactor(3)
 	d.Set(policy.Endpoint{ID: 2, State: policy.StateReady})
 	d.advanceTo(10 * time.Second)
@@ -106,9 +109,9 @@
 }
 
 func TestSilentWatchDeliversNothingUntilReopened(t *testing.T) {
-	d := newDiscoveryTest(lateDiscovery())
+	d := newDiscoveryTest(delayedDiscovery())
 	var overdue []time.Duration
-	d.OnOverdue = func(int, []policy.Endpoint) { overdue = append(overdue, d.scheduler.Now()-discoveryStart) }
+	d.OnOverdue = func(int, []policy.Endpoint) { overdue = append(overdue, d.scheduler.Now()-discoveryTestStart) }
 	d.Silence()
 	d.Set(policy.Endpoint{ID: 2, State: policy.StateReady})
 	d.advanceTo(7 * time.Second)
@@ -127,14 +130,14 @@
 }
 
 func TestDeliveredChangeIsNeverOverdue(t *testing.T) {
-	d := newDiscoveryTest(lateDiscovery())
+	d := newDiscoveryTest(delayedDiscovery())
 	d.OnOverdue = func(int, []policy.Endpoint) { t.Error("a delivered change is reported as overdue") }
 	d.Set(policy.Endpoint{ID: 2, State: policy.StateReady})
 	d.advanceTo(10 * time.Second)
 }
 
 func TestChangesDuringOutageAreDeliveredAfterIt(t *testing.T) {
-	d := newDiscoveryTest(lateDiscovery())
+	d := newDiscoveryTest(delayedDiscovery())
 	d.SetDown(true)
 	d.Set(policy.Endpoint{ID: 2, State: policy.StateReady})
 	d.advanceTo(9 * time.Second)
@@ -149,7 +152,7 @@
 }
 
 func TestCancelledWatchDeliversNothing(t *testing.T) {
-	d := newDiscoveryTest(lateDiscovery())
+	d := newDiscoveryTest(delayedDiscovery())
 	d.cancel()
 	d.Set(policy.Endpoint{ID: 2, State: policy.StateReady})
 	d.advanceTo(10 * time.Second)
--- a/internal/emulator/model/faults.go
+++ b/internal/emulator/model/faults.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// restartGroups is the number of groups in which a rolling restart shuts gateways down.
+	// restartGroups is the number of groups in which a rolling restart shuts gateways down. The groups follow each
+	// other evenly over the length of the fault.
 	restartGroups = 10
 
 	// replacementDrainTime is how long a replaced endpoint drains before it stops.
@@ -27,28 +28,28 @@
 	// Endpoints returns the endpoints that are neither draining nor stopped, in order of their ids.
 	Endpoints() []policy.Endpoint
 
-	KillGateway(gateway int)
-	StartGateway(gateway int)
+	KillGateway(gateway int)    // ends the gateway's process at once
+	StartGateway(gateway int)   // starts a gateway that was killed
 	RestartGateway(gateway int) // shuts the gateway down gracefully and starts it again once it has ended
 
-	DrainEndpoint(id policy.EndpointID)
+	DrainEndpoint(id policy.EndpointID)                // makes the endpoint reject new requests
 	StopEndpoint(id policy.EndpointID)                 // ends the endpoint's process
 	StartEndpoint(id policy.EndpointID)                // starts a new process, which warms up
-	AddReplacement(id policy.EndpointID)               // adds a new endpoint in the place of this one
-	SlowEndpoint(id policy.EndpointID, factor float64) // a factor of 1 restores the usual speed
-	FailEndpoint(id policy.EndpointID, share float64)
-	SilenceEndpoint(id policy.EndpointID, silent bool)
-
-	PartitionEndpoint(id policy.EndpointID, partitioned bool)
-	PartitionZone(zone int, partitioned bool) // cuts the zone off from the other zones
-	ResetAttempts(share float64)
-	CorruptResponses(share float64)
-	SilenceMeter(silent bool)
-
-	SetDiscoveryDown(down bool)
-	SilenceWatches()
-	MoveDiscovery()
-	SetListDelayFactor(factor float64) // a factor of 1 restores the usual delays
+	AddReplacement(id policy.EndpointID)               // adds an endpoint in the same zone and cell
+	SlowEndpoint(id policy.EndpointID, factor float64) // slows the endpoint down; 1 restores the usual speed
+	FailEndpoint(id policy.EndpointID, share float64)  // makes a share of the endpoint's requests fail; 0: none
+	SilenceEndpoint(id policy.EndpointID, silent bool) // stops or resumes the endpoint's responses
+
+	PartitionEndpoint(id policy.EndpointID, partitioned bool) // cuts the endpoint off, or restores its network
+	PartitionZone(zone int, partitioned bool)                 // cuts the zone off from the others, or ends that
+	ResetAttempts(share float64)                              // resets a share of the attempts; 0: none
+	CorruptResponses(share float64)                           // corrupts a share of the responses; 0: none
+	SilenceMeter(silent bool)                                 // stops or resumes the readings of the meter
+
+	SetDiscoveryDown(down bool)        // makes discovery unreachable or reachable again
+	SilenceWatches()                   // makes all open watches deliver nothing more
+	MoveDiscovery()                    // moves discovery to another address
+	SetListDelayFactor(factor float64) // multiplies the delays of list updates; 1 restores the usual delays
 }
 
 // ScheduleFaults schedules the faults of a scenario. It must be called when the load begins, since the times of faults
@@ -56,8 +57,8 @@
 func ScheduleFaults(scenario *emulator.Scenario, scheduler emulator.Scheduler, random *rand.Rand, target FaultTarget,
 	observer emulator.Observer) {
 	for _, fault := range scenario.Faults {
-		s := &faultInjector{fault: fault, scheduler: scheduler, random: random, target: target, observer: observer}
-		scheduler.After(fault.At.AsDuration(), s.begin)
+		injector := &faultInjector{fault: fault, scheduler: scheduler, random: random, target: target, observer: observer}
+		scheduler.After(fault.At.AsDuration(), injector.begin)
 	}
 }
 
@@ -70,136 +71,141 @@
 	observer  emulator.Observer
 }
 
-func (s *faultInjector) begin() {
-	s.observe(true)
-	switch s.fault.Kind {
+// begin starts the fault and schedules its end.
+func (f *faultInjector) begin() {
+	f.observe(true)
+	switch f.fault.Kind {
 	case emulator.FaultKillGateways, emulator.FaultRestartGateways:
-		s.applyToGateways()
+		f.applyToGateways()
 	case emulator.FaultDrainEndpoints, emulator.FaultReplace, emulator.FaultStopEndpoints,
 		emulator.FaultSlowEndpoints, emulator.FaultFailEndpoints, emulator.FaultSilentEndpoints:
-		s.applyToEndpoints(s.selectEndpoints())
+		f.applyToEndpoints(f.selectEndpoints())
 	case emulator.FaultPartition:
-		s.partition()
+		f.partition()
 	default:
-		s.applyToSharedServices()
+		f.applyToSharedServices()
 	}
-	s.scheduler.After(s.fault.Length.AsDuration(), func() { s.observe(false) })
+	f.scheduler.After(f.fault.Length.AsDuration(), func() { f.observe(false) })
 }
 
-func (s *faultInjector) observe(active bool) {
-	if s.observer != nil {
-		s.observer.Observe(s.scheduler.Now(), emulator.FaultChanged{Fault: s.fault, Active: active})
+// observe reports the start or the end of the fault to the observer.
+func (f *faultInjector) observe(active bool) {
+	if f.observer != nil {
+		f.observer.Observe(f.scheduler.Now(), emulator.FaultChanged{Fault: f.fault, Active: active})
 	}
 }
 
 // runForLength calls begin now and end when the fault is over.
-func (s *faultInjector) runForLength(begin, end func()) {
+func (f *faultInjector) runForLength(begin, end func()) {
 	begin()
-	s.scheduler.After(s.fault.Length.AsDuration(), end)
+	f.scheduler.After(f.fault.Length.AsDuration(), end)
 }
 
-func (s *faultInjector) applyToGateways() {
-	gateways := s.selectGateways()
+// applyToGateways kills the selected gateways for the length of the fault, or restarts them in groups.
+func (f *faultInjector) applyToGateways() {
+	gateways := f.selectGateways()
 	for i, gateway := range gateways {
-		if s.fault.Kind == emulator.FaultKillGateways {
-			s.runForLength(func() { s.target.KillGateway(gateway) }, func() { s.target.StartGateway(gateway) })
+		if f.fault.Kind == emulator.FaultKillGateways {
+			f.runForLength(func() { f.target.KillGateway(gateway) }, func() { f.target.StartGateway(gateway) })
 			continue
 		}
 		group := i * restartGroups / len(gateways)
-		wait := s.fault.Length.AsDuration() * time.Duration(group) / restartGroups
-		s.scheduler.After(wait, func() { s.target.RestartGateway(gateway) })
+		wait := f.fault.Length.AsDuration() * time.Duration(group) / restartGroups
+		f.scheduler.After(wait, func() { f.target.RestartGateway(gateway) })
 	}
 }
 
-func (s *faultInjector) applyToEndpoints(ids []policy.EndpointID) {
-	factor := s.fault.Factor
+// applyToEndpoints carries out a fault of endpoints other than a partition.
+func (f *faultInjector) applyToEndpoints(ids []policy.EndpointID) {
+	factor := f.fault.Factor
 	for i, id := range ids {
-		switch s.fault.Kind {
+		switch f.fault.Kind {
 		case emulator.FaultDrainEndpoints:
-			s.runForLength(func() { s.target.DrainEndpoint(id) }, func() { s.target.StopEndpoint(id) })
+			f.runForLength(func() { f.target.DrainEndpoint(id) }, func() { f.target.StopEndpoint(id) })
 		case emulator.FaultReplace:
-			wait := s.fault.Length.AsDuration() * time.Duration(i) / time.Duration(len(ids))
-			s.scheduler.After(wait, func() { s.replaceEndpoint(id) })
+			wait := f.fault.Length.AsDuration() * time.Duration(i) / time.Duration(len(ids))
+			f.scheduler.After(wait, func() { f.replaceEndpoint(id) })
 		case emulator.FaultStopEndpoints:
-			s.runForLength(func() { s.target.StopEndpoint(id) }, func() { s.target.StartEndpoint(id) })
+			f.runForLength(func() { f.target.StopEndpoint(id) }, func() { f.target.StartEndpoint(id) })
 		case emulator.FaultSlowEndpoints:
-			s.runForLength(func() { s.target.SlowEndpoint(id, factor) }, func() { s.target.SlowEndpoint(id, 1) })
+			f.runForLength(func() { f.target.SlowEndpoint(id, factor) }, func() { f.target.SlowEndpoint(id, 1) })
 		case emulator.FaultFailEndpoints:
-			s.runForLength(func() { s.target.FailEndpoint(id, factor) }, func() { s.target.FailEndpoint(id, 0) })
+			f.runForLength(func() { f.target.FailEndpoint(id, factor) }, func() { f.target.FailEndpoint(id, 0) })
 		case emulator.FaultSilentEndpoints:
-			s.runForLength(func() { s.target.SilenceEndpoint(id, true) }, func() { s.target.SilenceEndpoint(id, false) })
+			f.runForLength(func() { f.target.SilenceEndpoint(id, true) }, func() { f.target.SilenceEndpoint(id, false) })
 		}
 	}
 }
 
 // replaceEndpoint adds a replacement for an endpoint, which drains and then stops.
-func (s *faultInjector) replaceEndpoint(id policy.EndpointID) {
-	s.target.AddReplacement(id)
-	s.target.DrainEndpoint(id)
-	s.scheduler.After(replacementDrainTime, func() { s.target.StopEndpoint(id) })
+func (f *faultInjector) replaceEndpoint(id policy.EndpointID) {
+	f.target.AddReplacement(id)
+	f.target.DrainEndpoint(id)
+	f.scheduler.After(replacementDrainTime, func() { f.target.StopEndpoint(id) })
 }
 
-func (s *faultInjector) partition() {
-	if zone := s.fault.Zone - 1; zone >= 0 {
-		s.runForLength(func() { s.target.PartitionZone(zone, true) }, func() { s.target.PartitionZone(zone, false) })
+// partition cuts off a zone or, if the fault has no zone, each of the selected endpoints.
+func (f *faultInjector) partition() {
+	if zone := f.fault.Zone - 1; zone >= 0 {
+		f.runForLength(func() { f.target.PartitionZone(zone, true) }, func() { f.target.PartitionZone(zone, false) })
 		return
 	}
-	for _, id := range s.selectEndpoints() {
-		s.runForLength(func() { s.target.PartitionEndpoint(id, true) }, func() { s.target.PartitionEndpoint(id, false) })
+	for _, id := range f.selectEndpoints() {
+		f.runForLength(func() { f.target.PartitionEndpoint(id, true) }, func() { f.target.PartitionEndpoint(id, false) })
 	}
 }
 
 // applyToSharedServices carries out the faults of what all gateways share: discovery, the meter, and the responses to
 // their attempts.
-func (s *faultInjector) applyToSharedServices() {
-	target, factor := s.target, s.fault.Factor
-	switch s.fault.Kind {
+func (f *faultInjector) applyToSharedServices() {
+	target, factor := f.target, f.fault.Factor
+	switch f.fault.Kind {
 	case emulator.FaultDiscoveryDown:
-		s.runForLength(func() { target.SetDiscoveryDown(true) }, func() { target.SetDiscoveryDown(false) })
+		f.runForLength(func() { target.SetDiscoveryDown(true) }, func() { target.SetDiscoveryDown(false) })
 	case emulator.FaultWatchSilence:
 		target.SilenceWatches()
 	case emulator.FaultDiscoveryMoves:
 		target.MoveDiscovery()
 	case emulator.FaultLateLists:
-		s.runForLength(func() { target.SetListDelayFactor(factor) }, func() { target.SetListDelayFactor(1) })
+		f.runForLength(func() { target.SetListDelayFactor(factor) }, func() { target.SetListDelayFactor(1) })
 	case emulator.FaultResets:
-		s.runForLength(func() { target.ResetAttempts(factor) }, func() { target.ResetAttempts(0) })
+		f.runForLength(func() { target.ResetAttempts(factor) }, func() { target.ResetAttempts(0) })
 	case emulator.FaultSpoiltAnswers:
-		s.runForLength(func() { target.CorruptResponses(factor) }, func() { target.CorruptResponses(0) })
+		f.runForLength(func() { target.CorruptResponses(factor) }, func() { target.CorruptResponses(0) })
 	case emulator.FaultMeterSilence:
-		s.runForLength(func() { target.SilenceMeter(true) }, func() { target.SilenceMeter(false) })
+		f.runForLength(func() { target.SilenceMeter(true) }, func() { target.SilenceMeter(false) })
 	}
 }
 
 // selectGateways returns the gateways of the fault's zone, or a random share of all gateways if the fault has no zone.
-func (s *faultInjector) selectGateways() []int {
+func (f *faultInjector) selectGateways() []int {
 	var all, inZone []int
-	for gateway := range s.target.Gateways() {
+	for gateway := range f.target.Gateways() {
 		all = append(all, gateway)
-		if s.target.GatewayZone(gateway) == s.fault.Zone-1 {
+		if f.target.GatewayZone(gateway) == f.fault.Zone-1 {
 			inZone = append(inZone, gateway)
 		}
 	}
-	if s.fault.Zone > 0 {
+	if f.fault.Zone > 0 {
 		return inZone
 	}
-	return selectShare(s.random, all, s.fault.Share)
+	return selectShare(f.random, all, f.fault.Share)
 }
 
 // selectEndpoints returns the endpoints of the fault's zone, or a random share of all endpoints if the fault has no
 // zone.
-func (s *faultInjector) selectEndpoints() []policy.EndpointID {
+func (f *faultInjector) selectEndpoints() []policy.EndpointID {
 	var all, inZone []policy.EndpointID
-	for _, endpoint := range s.target.Endpoints() {
+	for _, endpoint := range f.target.Endpoints() {
 		all = append(all, endpoint.ID)
-		if endpoint.Zone == s.fault.Zone-1 {
+		if endpoint.Zone == f.fault.Zone-1 {
 			inZone = append(inZone, endpoint.ID)
 		}
 	}
-	if s.fault.Zone > 0 {
+	if f.fault.Zone > 0 {
 		return inZone
 	}
-	return selectShare(s.random, all, s.fault.Share)
+	return selectShare(f.random, all, f.fault.Share)
 }
 
 // selectShare returns a random selection of the items in their original order. Its size is the rounded share of the
