--- a/internal/emulator/model/customers.go
+++ b/internal/emulator/model/customers.go
@@ -10,19 +10,20 @@
 	"springfield/policy"
 )
 
-// Random number streams of the workload of a run.
+// Numbers of the random number streams from which the workload of a run is drawn.
 const (
 	streamCustomers uint64 = iota + 1
 	streamArrivals
 	streamRetries
 )
 
-// Bounds on the usage of customers, as shares of their quota.
+// Ranges from which the usage of customers is drawn. Usage is a share of the quota, and a spread is relative to the
+// mean.
 const (
 	calmUseSpread  = 0.5  // calm customers use CalmUse times 1 - calmUseSpread to 1 + calmUseSpread
-	maxCalmUse     = 0.95 // upper bound on the usage of calm customers
-	minFullUse     = 0.85 // lower bound for customers who use nearly all of their quota
-	maxFullUse     = 0.98 // upper bound for customers who use nearly all of their quota
+	maxCalmUse     = 0.95 // maximum usage of calm customers
+	minFullUse     = 0.85 // minimum usage of customers who use nearly all of their quota
+	maxFullUse     = 0.98 // maximum usage of customers who use nearly all of their quota
 	spikeGapSpread = 0.5  // pauses between spikes are the mean times 1 - spikeGapSpread to 1 + spikeGapSpread
 )
 
@@ -30,7 +31,7 @@
 // idle endpoints. It defines the quota rate of a plan that has no rate.
 const concurrencyHeadroom = 2
 
-// minSetSize is the smallest number of gateways that carry a customer, if the deployment has as many.
+// minSetSize is the minimum number of gateways that carry a customer. A smaller deployment uses all of its gateways.
 const minSetSize = 2
 
 // minRemainingUse is the in-quota load of a plan, in units a second, below which no further customer is added.
@@ -45,15 +46,15 @@
 // customer sends requests at one rate, and at another rate during its spikes.
 type customer struct {
 	id                policy.CustomerID
-	plan              int
+	plan              int             // index of the plan in Scenario.Plans
 	rate              float64         // units a second outside of spikes
 	spikeRate         float64         // units a second in spikes
 	spikeStarts       []time.Duration // starts of the spikes, counted from the start of the load, in order
-	setFirst, setSize int
+	setFirst, setSize int             // gateways that carry the customer: setSize of them in a row from setFirst
 }
 
-// rateAt returns the units a second that the customer requests at a time after the start, and until when it keeps this
-// rate.
+// rateAt returns the units a second that the customer requests at a time after the start of the load, and the time
+// until which it keeps this rate.
 func (c *customer) rateAt(at, spikeLength time.Duration) (rate float64, until time.Duration) {
 	next, found := slices.BinarySearch(c.spikeStarts, at)
 	if found {
@@ -84,10 +85,11 @@
 	return time.Duration(work / shares)
 }
 
-// quota is the token bucket of a plan, with which the load of customers is calculated.
+// quota is the token bucket of a plan, with a rate in units a second and a burst in units. It serves to calculate which
+// part of a customer's load is within the quota.
 type quota struct{ rate, burst float64 }
 
-// quotaOf returns a plan's token bucket. A plan that limits only the attempts in flight gets the rate at which its
+// quotaOf returns the token bucket of a plan. A plan that limits only the attempts in flight gets the rate at which its
 // customers keep MaxConcurrent / concurrencyHeadroom attempts in flight on idle endpoints.
 func quotaOf(scenario *emulator.Scenario, plan *emulator.Plan) quota {
 	if plan.Rate > 0 {
@@ -97,8 +99,8 @@
 }
 
 // inQuotaRate returns how many units a second of a customer's requests are within the quota, averaged over the length
-// of a run, as a single gateway that receives all of them would count. Requests are treated as a continuous flow at
-// the customer's rate.
+// of a run. The quota is counted over all gateways together, and requests are treated as a continuous flow at the
+// customer's rate.
 func (q quota) inQuotaRate(c *customer, length, spikeLength time.Duration) float64 {
 	level, inQuota := q.burst, 0.0
 	for at := time.Duration(0); at < length; {
@@ -233,18 +235,20 @@
 // usagePattern is how a customer uses its quota.
 type usagePattern uint8
 
+// The usage patterns of customers.
 const (
-	patternCalm usagePattern = iota
-	patternFull
-	patternGreedy
-	patternSpiky
+	patternCalm   usagePattern = iota // stays below the quota
+	patternFull                       // uses nearly all of the quota
+	patternGreedy                     // exceeds the quota all the time
+	patternSpiky                      // exceeds the quota in spikes, and is calm between them
 )
 
-// patternSequence generates the usage patterns of successive customers. It steps around a circle by the golden ratio,
-// so that the share of each pattern is kept as closely as possible even among a few customers.
+// patternSequence generates the usage patterns of successive customers. It draws from a low-discrepancy sequence, the
+// multiples of the golden ratio modulo 1 from a random start, so that even a few customers have each pattern at about
+// its share.
 type patternSequence struct {
 	clients  *emulator.Clients
-	position float64
+	position float64 // current element of the sequence, from 0 to 1
 }
 
 func newPatternSequence(clients *emulator.Clients, random *rand.Rand) *patternSequence {
--- a/internal/emulator/model/customers_test.go
+++ b/internal/emulator/model/customers_test.go
@@ -34,8 +34,8 @@
 	})
 }
 
-// TestGeneratedInQuotaRequestsMatchTheLoad counts the generated requests with a token bucket for each customer, since
-// the offered load is calculated from rates without them.
+// TestGeneratedInQuotaRequestsMatchTheLoad counts the generated requests with a token bucket for each customer. It
+// guards against a difference between them and the offered load, which is calculated from the customers' rates alone.
 func TestGeneratedInQuotaRequestsMatchTheLoad(t *testing.T) {
 	type bucket struct {
 		level float64
@@ -80,9 +80,9 @@
 	for range customers {
 		counts[patterns.next()]++
 	}
-	for kind, want := range map[usagePattern]int{patternCalm: 20, patternFull: 10, patternGreedy: 5, patternSpiky: 15} {
-		if got := counts[kind]; got < want-2 || got > want+2 {
-			t.Errorf("usage pattern %d: %d of %d customers, want about %d", kind, got, customers, want)
+	for pattern, want := range map[usagePattern]int{patternCalm: 20, patternFull: 10, patternGreedy: 5, patternSpiky: 15} {
+		if got := counts[pattern]; got < want-2 || got > want+2 {
+			t.Errorf("usage pattern %d: %d of %d customers, want about %d", pattern, got, customers, want)
 		}
 	}
 }
--- a/internal/emulator/model/retries.go
+++ b/internal/emulator/model/retries.go
@@ -51,7 +51,7 @@
 		return true
 	case emulator.AnswerFailed, emulator.AnswerMissing:
 		return w.isRepeatSafe(next)
-	default: // served
+	default: // a served request needs no retry
 		return false
 	}
 }
--- a/internal/emulator/model/retries_test.go
+++ b/internal/emulator/model/retries_test.go
@@ -59,11 +59,14 @@
 		{name: "failed after the TTL", class: "keyed", answer: emulator.AnswerFailed, after: 2 * time.Second},
 		{name: "failed", class: "keyed by zone", answer: emulator.AnswerFailed, after: time.Second},
 		{name: "rejected after the TTL", class: "keyed", answer: emulator.AnswerRejected, after: 2 * time.Second, want: true},
-		{name: "too late", class: "idempotent", answer: emulator.AnswerRejected, after: 4950 * time.Millisecond},
-		{name: "last try", class: "idempotent", answer: emulator.AnswerRejected, edit: func(a *Arrival) { a.Try = 2 }},
-		{name: "client gone", class: "idempotent", answer: emulator.AnswerRejected, after: time.Second,
+		{name: "rejected just before the last deadline", class: "idempotent", answer: emulator.AnswerRejected,
+			after: 4950 * time.Millisecond},
+		{name: "retries used up", class: "idempotent", answer: emulator.AnswerRejected,
+			edit: func(a *Arrival) { a.Try = 2 }},
+		{name: "disconnect before the retry", class: "idempotent", answer: emulator.AnswerRejected, after: time.Second,
 			edit: func(a *Arrival) { a.AbandonAt = testStart + 1050*time.Millisecond }},
-		{name: "client goes later", class: "idempotent", answer: emulator.AnswerRejected, after: time.Second, want: true,
+		{name: "disconnect after the retry", class: "idempotent", answer: emulator.AnswerRejected, after: time.Second,
+			want: true,
 			edit: func(a *Arrival) { a.AbandonAt = testStart + 2*time.Second }},
 	} {
 		previous := newFirstTry(classes[c.class])
--- a/internal/emulator/model/workload.go
+++ b/internal/emulator/model/workload.go
@@ -11,7 +11,7 @@
 	"springfield/policy"
 )
 
-// Values of emulator.Class.Idempotency and emulator.Class.Scope. They equal those of the gateways' settings.
+// Values of emulator.Class.Idempotency and emulator.Class.Scope. The settings of the gateways use the same values.
 const (
 	idempotencyRepeatable = settings.RepeatIdempotent
 	idempotencyByKey      = settings.RepeatDeduplicated
@@ -27,9 +27,9 @@
 
 // Arrival is one try of a client: a request whose last byte is sent to a gateway at the time At.
 type Arrival struct {
-	At                time.Duration // Unix time
-	Request, Original emulator.RequestKey
-	Gateway           int
+	At                time.Duration       // Unix time
+	Request, Original emulator.RequestKey // key of this try, and key of the first try of the same request
+	Gateway           int                 // number of the gateway that the try is sent to
 	Customer          policy.CustomerID
 	Plan, Class       int
 	Units, TrueUnits  float64       // size stated in the request, and the size that the usage is settled to
@@ -46,7 +46,7 @@
 	Customers      int
 	CapacityUnits  float64 // units a second that all endpoints together can process when warm
 	InQuotaUnits   float64 // units a second requested within the quotas
-	RequestedUnits float64 // units a second requested in all
+	RequestedUnits float64 // units a second requested in total, within the quotas and over them
 }
 
 // Workload generates the requests of all clients of a run. It is an open loop: arrivals do not wait for answers. First
@@ -59,7 +59,7 @@
 	random        *rand.Rand
 	customers     []customer
 	pending       arrivalQueue // next arrival of each customer
-	classShares   []float64    // cumulative, by class
+	classShares   []float64    // cumulative shares of the classes, by class
 	offered       Offered
 	firstTryCount uint64 // first tries generated so far
 }
@@ -105,10 +105,11 @@
 	return arrival, true
 }
 
-// nextSendTime draws when a customer sends its next request after the given time. Both times count from the start. The
-// second result is false once the load is over.
+// nextSendTime draws when a customer sends its next request after the given time. Both times count from the start of
+// the load. The second result is false once the load is over.
 func (w *Workload) nextSendTime(sender *customer, after time.Duration) (time.Duration, bool) {
-	remaining := w.random.ExpFloat64() // expected requests until the next one of a Poisson process
+	// Requests form a Poisson process: the integral of the rate from one request to the next is exponential with mean 1.
+	remaining := w.random.ExpFloat64()
 	for at := after; at < w.scenario.Length.AsDuration(); {
 		rate, until := w.requestRate(sender, at)
 		until = min(until, w.scenario.Length.AsDuration())
@@ -122,8 +123,8 @@
 	return 0, false
 }
 
-// requestRate returns the requests a second that a customer sends at a time after the start, and until when it keeps
-// this rate.
+// requestRate returns the requests a second that a customer sends at a time after the start of the load, and the time
+// until which it keeps this rate.
 func (w *Workload) requestRate(sender *customer, at time.Duration) (rate float64, until time.Duration) {
 	clients := &w.scenario.Clients
 	rate, until = sender.rateAt(at, clients.SpikeLength.AsDuration())
@@ -142,7 +143,7 @@
 // meanUnits returns the mean units of a request. Units are drawn uniformly from the integers 1 to MaxUnits.
 func meanUnits(clients *emulator.Clients) float64 { return float64(1+clients.MaxUnits) / 2 }
 
-// firstTry draws the request that a customer sends at the given time after the start.
+// firstTry draws the request that a customer sends at the given time after the start of the load.
 func (w *Workload) firstTry(sender *customer, at time.Duration) Arrival {
 	w.firstTryCount++
 	class := w.drawClass()
@@ -201,6 +202,7 @@
 	return int(splitMix64(customerHash+period) % uint64(setSize))
 }
 
+// drawClass draws the class of a request by the shares of the classes.
 func (w *Workload) drawClass() int {
 	draw := w.random.Float64() * w.classShares[len(w.classShares)-1]
 	for class, bound := range w.classShares {
@@ -211,19 +213,20 @@
 	return len(w.classShares) - 1
 }
 
-// estimateUnits draws the units that a request states. They differ from the true units only where the meter settles
-// units afterwards.
+// estimateUnits draws the units that a request states. They differ from its true units only if Meter.Settled is set,
+// which means that the charge is corrected to the true units afterwards.
 func (w *Workload) estimateUnits(units float64) float64 {
 	if !w.scenario.Meter.Settled || w.scenario.Meter.GuessErr <= 0 {
 		return units
 	}
 	// A log-normal factor with this standard deviation of its logarithm and mean 1 has the standard deviation GuessErr.
 	sigma := math.Sqrt(math.Log1p(w.scenario.Meter.GuessErr * w.scenario.Meter.GuessErr))
-	guess := units * math.Exp(sigma*w.random.NormFloat64()-sigma*sigma/2)
-	return min(max(guess, 1), float64(w.scenario.Clients.MaxUnits))
+	estimate := units * math.Exp(sigma*w.random.NormFloat64()-sigma*sigma/2)
+	return min(max(estimate, 1), float64(w.scenario.Clients.MaxUnits))
 }
 
-// drawPatience draws how long a client waits for the answer to one try.
+// drawPatience draws how long a client waits for the answer to one try: from the share Clients.Patience of the deadline
+// up to the whole deadline.
 func (w *Workload) drawPatience(deadline time.Duration, random *rand.Rand) time.Duration {
 	minShare := w.scenario.Clients.Patience
 	return scaleDuration(deadline, minShare+(1-minShare)*random.Float64())
@@ -235,6 +238,7 @@
 	return scaleDuration(class.Work.AsDuration(), units*factor)
 }
 
+// cumulativeShares returns, for each class, the sum of the shares of the classes up to it.
 func cumulativeShares(classes []emulator.Class) []float64 {
 	sums := make([]float64, len(classes))
 	total := 0.0
@@ -249,10 +253,10 @@
 	return time.Duration(float64(d) * factor)
 }
 
-// pendingArrival holds when a customer sends its next request, counted from the start.
+// pendingArrival is the next request of a customer.
 type pendingArrival struct {
-	at       time.Duration
-	customer int
+	at       time.Duration // counted from the start of the load
+	customer int           // index in Workload.customers
 }
 
 // arrivalQueue is a heap by time, then by customer.
--- a/internal/emulator/model/workload_test.go
+++ b/internal/emulator/model/workload_test.go
@@ -9,7 +9,8 @@
 	"springfield/internal/emulator"
 )
 
-// testStart is the start of the runs. It is not 0, so that a time counted from the start cannot pass for a Unix time.
+// testStart is the start of the load in the tests. It is not 0, so that a test fails if a time counted from the start
+// is used as a Unix time.
 const testStart = 1000 * time.Hour
 
 // firstTries returns all first tries of a workload.
@@ -34,8 +35,8 @@
 	arrivals := firstTries(NewWorkload(&scenario, 1, testStart))
 	keys := make(map[emulator.RequestKey]bool)
 	for _, a := range arrivals {
-		limit := scenario.Classes[a.Class].Deadline.AsDuration()
-		minPatience := scaleDuration(limit, scenario.Clients.Patience)
+		deadline := scenario.Classes[a.Class].Deadline.AsDuration()
+		minPatience := scaleDuration(deadline, scenario.Clients.Patience)
 		position := (a.Gateway - a.SetFirst + scenario.Gateways) % scenario.Gateways
 		switch {
 		case a.At < last || a.At > end:
@@ -46,7 +47,7 @@
 			t.Fatalf("set size or gateway out of bounds: %+v", a)
 		case a.TrueUnits < 1 || a.TrueUnits > 4 || a.Units < 1 || a.Units > 4 || a.Work <= 0:
 			t.Fatalf("units or work out of bounds: %+v", a)
-		case a.LastDeadline != a.At+limit || a.Deadline < a.At+minPatience || a.Deadline > a.LastDeadline:
+		case a.LastDeadline != a.At+deadline || a.Deadline < a.At+minPatience || a.Deadline > a.LastDeadline:
 			t.Fatalf("deadlines out of bounds: %+v", a)
 		case a.AbandonAt != 0 && (a.AbandonAt <= a.At || a.AbandonAt >= a.Deadline):
 			t.Fatalf("abandoned before the start or after the deadline of the try: %+v", a)
@@ -68,22 +69,24 @@
 	}
 }
 
+// TestFirstTriesDependOnTheSeedAlone guards against retries that consume random numbers of the first tries. Different
+// deciders, which cause different retries, would then face different first tries.
 func TestFirstTriesDependOnTheSeedAlone(t *testing.T) {
 	scenario := DefaultScenario()
-	plain := firstTries(NewWorkload(&scenario, 7, testStart))
-	disturbed := NewWorkload(&scenario, 7, testStart)
-	for i := range plain {
-		arrival, _ := disturbed.Next()
-		if arrival != plain[i] {
-			t.Fatalf("arrival %d is %+v, want %+v", i, arrival, plain[i])
+	arrivals := firstTries(NewWorkload(&scenario, 7, testStart))
+	withRetries := NewWorkload(&scenario, 7, testStart)
+	for i := range arrivals {
+		arrival, _ := withRetries.Next()
+		if arrival != arrivals[i] {
+			t.Fatalf("arrival %d is %+v, want %+v", i, arrival, arrivals[i])
 		}
-		first, _ := disturbed.Retry(arrival, emulator.AnswerRejected, 0, arrival.At)
-		second, _ := disturbed.Retry(arrival, emulator.AnswerRejected, 0, arrival.At)
+		first, _ := withRetries.Retry(arrival, emulator.AnswerRejected, 0, arrival.At)
+		second, _ := withRetries.Retry(arrival, emulator.AnswerRejected, 0, arrival.At)
 		if first != second {
 			t.Fatalf("two retries of the same try differ: %+v and %+v", first, second)
 		}
 	}
-	if slices.Equal(plain, firstTries(NewWorkload(&scenario, 8, testStart))) {
+	if slices.Equal(arrivals, firstTries(NewWorkload(&scenario, 8, testStart))) {
 		t.Error("two seeds give the same arrivals")
 	}
 }
@@ -159,7 +162,7 @@
 	}
 }
 
-// BenchmarkArrivals draws first tries of about 100,000 customers at 5,000 gateways.
+// BenchmarkArrivals measures the generation of first tries for about 100,000 customers and 5,000 gateways.
 func BenchmarkArrivals(b *testing.B) {
 	scenario := DefaultScenario()
 	scenario.Gateways, scenario.Endpoints.Count = 5000, 4500
--- a/internal/emulator/model/world.go
+++ b/internal/emulator/model/world.go
@@ -8,11 +8,11 @@
 	"springfield/policy"
 )
 
-// Stream identifies one of the random number streams of a run. The workload uses separate streams.
+// Stream identifies one of the random number streams of a run. The streams of the workload are numbered separately.
 type Stream uint64
 
-// The random number streams. Virtual runs and loopback runs use the same ones, so that both draw the same endpoints
-// and faults from a seed.
+// The random number streams of a run. Virtual runs and loopback runs use the same streams, so that both draw the same
+// endpoints and faults from a seed.
 const (
 	StreamServers Stream = iota + 1
 	StreamNetwork
@@ -29,7 +29,7 @@
 // cellsPerZone is the number of cells into which the endpoints of a zone are divided.
 const cellsPerZone = 4
 
-// CellOf returns the cell of the endpoint with the given number, from 0.
+// CellOf returns the cell, counted from 0, of the endpoint with the given number.
 func CellOf(scenario *emulator.Scenario, number int) int {
 	return number / Zones(scenario) % cellsPerZone
 }
