--- a/internal/emulator/model/connection_table.go
+++ b/internal/emulator/model/connection_table.go
@@ -1,10 +1,10 @@
 package model
 
-// connectionTable counts the connections that an endpoint holds, from all gateways together. The limit follows the
-// operators' page PROTOCOL ("Edge nodes to listing servers"): an endpoint holds a limited number of connections.
+// connectionTable counts the connections that an endpoint holds, from all gateways together. An endpoint holds a
+// limited number of connections. Source: PROTOCOL, "Edge nodes to listing servers".
 type connectionTable struct {
-	limit int // 0: unlimited
-	open  int
+	limit int // maximum number of open connections; 0: unlimited
+	open  int // number of open connections
 }
 
 // add counts a new connection, or returns false if the limit has been reached.
--- a/internal/emulator/model/network.go
+++ b/internal/emulator/model/network.go
@@ -7,10 +7,11 @@
 	"springfield/internal/emulator"
 )
 
-// Network models the path between two machines. The delay of each message is drawn independently, so that a message
-// may overtake an earlier one; callers have to keep the messages of a connection in order.
+// Network models the path between two machines of one data centre, with TCP and without losses. The delay of each
+// message is drawn independently, so that a message may overtake an earlier one; callers have to keep the messages of a
+// connection in order.
 //
-// The model follows the operators' pages BRIEF and PROTOCOL ("The network"): one data centre, and TCP without losses.
+// Sources: BRIEF; PROTOCOL, "The network".
 type Network struct {
 	spec   emulator.Network
 	random *rand.Rand
--- a/internal/emulator/model/overload.go
+++ b/internal/emulator/model/overload.go
@@ -10,24 +10,24 @@
 // overloadDetector detects when an endpoint that warms up receives too much work. The endpoint fails once it has
 // received more than N + 2 sqrt(N) + 2 requests of mean work within WarmUp.OverloadWindow, where N is the number that
 // the present capacity times WarmUp.OverloadFactor completes within the window. Requests that the endpoint rejects
-// count too; handshakes do not. A slowdown of the endpoint does not lower N.
+// count too; handshakes do not. A slowdown of the endpoint does not lower N. Work is in seconds of one core at speed 1.
 //
-// The rule follows the operators' pages STANDING (overload of a cold endpoint) and WIRE (rule 4). Work is in seconds
-// of one core at speed 1.
+// Sources: STANDING, overload of a cold endpoint; WIRE, rule 4.
 type overloadDetector struct {
-	factor       float64
-	window       time.Duration
-	capacity     float64 // seconds of work a second when warm
-	meanWork     float64 // seconds a request
-	arrivals     []warmUpArrival
-	work         float64 // of the arrivals within the window
-	informedWork float64 // part of work that came from informed gateways
+	factor       float64         // WarmUp.OverloadFactor
+	window       time.Duration   // WarmUp.OverloadWindow
+	capacity     float64         // seconds of work that the endpoint does in a second when warm
+	meanWork     float64         // mean work of a request
+	arrivals     []warmUpArrival // requests within the window, in order of arrival
+	work         float64         // work of the arrivals within the window
+	informedWork float64         // part of work that came from informed gateways
 }
 
+// warmUpArrival is a request that an endpoint receives during its warm-up.
 type warmUpArrival struct {
 	at       time.Duration
-	work     float64
-	informed bool
+	work     float64 // seconds of one core at speed 1
+	informed bool    // whether the sending gateway counts as notified of the endpoint's start
 }
 
 func newOverloadDetector(warmUp emulator.WarmUp, capacity float64, meanWork time.Duration) overloadDetector {
@@ -41,47 +41,47 @@
 
 // record adds an arrival while the endpoint has the given share of its capacity, and reports whether the endpoint is
 // overloaded.
-func (l *overloadDetector) record(arrival warmUpArrival, capacityShare float64) (overloaded bool) {
-	if l.factor <= 0 || l.window <= 0 || l.meanWork <= 0 {
+func (d *overloadDetector) record(arrival warmUpArrival, capacityShare float64) (overloaded bool) {
+	if d.factor <= 0 || d.window <= 0 || d.meanWork <= 0 {
 		return false
 	}
-	l.expire(arrival.at - l.window)
-	l.arrivals = append(l.arrivals, arrival)
-	l.work += arrival.work
+	d.expire(arrival.at - d.window)
+	d.arrivals = append(d.arrivals, arrival)
+	d.work += arrival.work
 	if arrival.informed {
-		l.informedWork += arrival.work
+		d.informedWork += arrival.work
 	}
-	allowed := l.factor * l.capacity * capacityShare * l.window.Seconds() / l.meanWork
-	return l.work/l.meanWork > allowed+2*math.Sqrt(allowed)+2
+	allowed := d.factor * d.capacity * capacityShare * d.window.Seconds() / d.meanWork
+	return d.work/d.meanWork > allowed+2*math.Sqrt(allowed)+2
 }
 
 // expire removes the arrivals up to the given time.
-func (l *overloadDetector) expire(until time.Duration) {
+func (d *overloadDetector) expire(until time.Duration) {
 	expired := 0
-	for expired < len(l.arrivals) && l.arrivals[expired].at <= until {
-		l.work -= l.arrivals[expired].work
-		if l.arrivals[expired].informed {
-			l.informedWork -= l.arrivals[expired].work
+	for expired < len(d.arrivals) && d.arrivals[expired].at <= until {
+		d.work -= d.arrivals[expired].work
+		if d.arrivals[expired].informed {
+			d.informedWork -= d.arrivals[expired].work
 		}
 		expired++
 	}
-	l.arrivals = l.arrivals[expired:]
-	if len(l.arrivals) == 0 {
-		l.reset()
+	d.arrivals = d.arrivals[expired:]
+	if len(d.arrivals) == 0 {
+		d.reset()
 	}
 }
 
 // informedShare returns the share of the work within the window that came from gateways that counted as notified of
 // the endpoint's start.
-func (l *overloadDetector) informedShare() float64 {
-	if l.work <= 0 {
+func (d *overloadDetector) informedShare() float64 {
+	if d.work <= 0 {
 		return 0
 	}
-	return min(1, max(0, l.informedWork/l.work))
+	return min(1, max(0, d.informedWork/d.work))
 }
 
 // reset removes all arrivals.
-func (l *overloadDetector) reset() {
-	l.arrivals = nil
-	l.work, l.informedWork = 0, 0
+func (d *overloadDetector) reset() {
+	d.arrivals = nil
+	d.work, d.informedWork = 0, 0
 }
--- a/internal/emulator/model/processor.go
+++ b/internal/emulator/model/processor.go
@@ -11,8 +11,8 @@
 const finishTolerance = 1e-9
 
 // processor executes tasks by processor sharing: each task has its own core while there are enough cores, and more
-// tasks share the cores evenly. The model is exact: all tasks progress equally fast, so that it integrates the
-// progress of one task and completes each task once the progress has grown by the task's work.
+// tasks share the cores evenly. The model is exact: since all tasks progress equally fast, it integrates the progress
+// that they have in common, and a task is complete once this progress has grown by the task's work.
 //
 // Work is in seconds of one core at speed 1. A core does speed x capacity share / slowdown seconds of work a second.
 type processor struct {
@@ -20,17 +20,17 @@
 	speed     float64
 	slowdown  float64
 	warmUp    slowStart
-	updated   time.Duration
-	progress  float64 // work done on each task since the processor was last idle, seconds
-	sequence  uint64
-	tasks     taskQueue
-	sumOfEnds float64 // sum of endProgress over the tasks
+	updated   time.Duration // time up to which progress is computed
+	progress  float64       // work done on each task since the processor was last idle, seconds
+	sequence  uint64        // number of tasks started so far
+	tasks     taskQueue     // tasks that are not complete
+	sumOfEnds float64       // sum of endProgress over the tasks
 }
 
 // task is a request in service or a handshake.
 type task struct {
-	endProgress float64 // progress at which the task is complete
-	sequence    uint64
+	endProgress float64  // progress at which the task is complete
+	sequence    uint64   // position of the task in the order in which tasks were started
 	request     *request // nil for a handshake
 }
 
@@ -82,8 +82,8 @@
 	return max(1, p.timeForWork(remaining/p.taskSpeed())), true
 }
 
-// timeForWork returns how long the processor takes, from its last update on, for what a warm processor does in the
-// given number of seconds.
+// timeForWork returns the time, from the last update on, that the processor takes for the work that a warm processor
+// does in the given number of seconds.
 func (p *processor) timeForWork(seconds float64) time.Duration {
 	return secondsToDuration(p.warmUp.timeForWork(p.updated, seconds))
 }
--- a/internal/emulator/model/server.go
+++ b/internal/emulator/model/server.go
@@ -26,10 +26,10 @@
 
 // Job is a request that an endpoint has received completely.
 type Job struct {
-	Work     time.Duration // on a core at speed 1
-	Gateway  int           // number of the gateway that sent the request
-	Informed bool          // whether that gateway counts as notified of the endpoint's start
-	Done     func(JobResult)
+	Work     time.Duration   // work of the request on a core at speed 1
+	Gateway  int             // number of the gateway that sent the request
+	Informed bool            // whether that gateway counts as notified of the endpoint's start
+	Done     func(JobResult) // receives the result; may be nil
 }
 
 // JobResult is the outcome that an endpoint answers a job with.
@@ -46,12 +46,11 @@
 // Endpoints.Slots share the cores evenly (processor sharing). Up to Endpoints.WaitingRoom further requests wait in
 // order of arrival, and requests beyond that are rejected. A draining endpoint rejects all new requests and completes
 // those that it holds. An attempt that its gateway gives up is executed all the same. A core does Speed x
-// CapacityShare / slowdown seconds of work a second.
-//
-// The model follows the operators' pages PROTOCOL ("Edge nodes to listing servers"), WIRE (rules 3 and 4) and STANDING
-// (overload during the warm-up). Times are Unix time, work is in seconds of one core at speed 1.
+// CapacityShare / slowdown seconds of work a second. Times are Unix time, work is in seconds of one core at speed 1.
 //
 // A Server is not safe for concurrent use: only functions of its scheduler, which run one at a time, may call it.
+//
+// Sources: PROTOCOL, "Edge nodes to listing servers"; WIRE, rules 3 and 4; STANDING, overload during the warm-up.
 type Server struct {
 	// OnOverload, if set, is called by the scheduler after the endpoint has failed because it received too much work
 	// while it warmed up. The process has stopped by then and stays down until Start is called. informedShare is the
@@ -66,15 +65,15 @@
 	connections connectionTable
 	traffic     trafficMeter
 
-	inService   int
-	waiting     requestQueue
-	waitingWork float64 // seconds
+	inService   int          // requests that occupy slots
+	waiting     requestQueue // requests that wait for a slot
+	waitingWork float64      // work of the waiting requests, seconds of one core at speed 1
 
 	up            bool
 	processNumber uint64 // incremented at each stop, which cancels the functions that the stopped process has scheduled
 	draining      bool
 	silent        bool
-	errorShare    float64
+	errorShare    float64 // share of the executed requests that fail with errors
 
 	wakeUpAt     time.Duration // when the next task may be complete; 0: no wake-up is scheduled
 	wakeUpNumber uint64        // number of the latest wake-up; earlier ones have no effect
@@ -113,7 +112,7 @@
 
 // Submit takes a request whose last byte has arrived. The scheduler calls Done later, never before Submit has
 // returned. Done is never called if the process is down or stops before the request is complete; the caller then has
-// to reset the connection. Nor is Done called for a request that would be answered while the endpoint is silent.
+// to reset the connection. Done is not called either for a request that completes while the endpoint is silent.
 func (s *Server) Submit(job Job) {
 	if !s.up {
 		return
--- a/internal/emulator/model/server_state.go
+++ b/internal/emulator/model/server_state.go
@@ -17,7 +17,8 @@
 	s.scheduleWakeUp()
 }
 
-// SetErrorShare makes a share of the requests fail with errors after their execution.
+// SetErrorShare makes a share of the requests fail with errors after their execution. A share of 0 restores the usual
+// operation.
 func (s *Server) SetErrorShare(share float64) { s.errorShare = share }
 
 // SetSilent makes the endpoint accept and execute requests without sending any response. Requests that complete while
@@ -133,12 +134,14 @@
 
 // requestQueue is a first-in, first-out queue of waiting requests.
 type requestQueue struct {
-	requests []*request
-	head     int
+	requests []*request // requests[head:] are waiting
+	head     int        // index of the request that has waited longest
 }
 
 func (q *requestQueue) len() int { return len(q.requests) - q.head }
 
+// push adds a request at the end. If the slice is full and at least half of it is free at the front, push moves the
+// waiting requests to the front instead of growing the slice.
 func (q *requestQueue) push(added *request) {
 	if q.head > 0 && q.head >= len(q.requests)/2 && len(q.requests) == cap(q.requests) {
 		remaining := copy(q.requests, q.requests[q.head:])
--- a/internal/emulator/model/server_test.go
+++ b/internal/emulator/model/server_test.go
@@ -13,6 +13,7 @@
 	"springfield/policy"
 )
 
+// serverTestStart is the Unix time at which the schedulers of the tests start.
 const serverTestStart = 1_700_000_000 * time.Second
 
 // serverTest is a server that records when and with which result its jobs end.
@@ -22,6 +23,7 @@
 	ends      map[int]serverTestEnd // by job number
 }
 
+// serverTestEnd is the end of a job.
 type serverTestEnd struct {
 	after  time.Duration // since serverTestStart
 	result JobResult
@@ -54,7 +56,8 @@
 func (s *serverTest) expectEnd(t *testing.T, number int, after time.Duration, result JobResult) {
 	t.Helper()
 	got, ok := s.ends[number]
-	if off := got.after - after; !ok || got.result != result || off < -time.Microsecond || off > time.Microsecond {
+	if deviation := got.after - after; !ok || got.result != result ||
+		deviation < -time.Microsecond || deviation > time.Microsecond {
 		t.Errorf("job %d ended with %+v (ended: %v), want %v after %v", number, got, ok, result, after)
 	}
 }
@@ -331,14 +334,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		start := slowStart{
 			initial:   rapid.Float64Range(0, 1).Draw(t, "initial"),
-			duration:  time.Duration(rapid.IntRange(1, 60_000).Draw(t, "duration in ms")) * time.Millisecond,
+			duration:  time.Duration(rapid.IntRange(1, 60_000).Draw(t, "warm-up in ms")) * time.Millisecond,
 			startedAt: serverTestStart,
 		}
 		from := serverTestStart + time.Duration(rapid.IntRange(0, 90_000).Draw(t, "from in ms"))*time.Millisecond
-		lasting := time.Duration(rapid.IntRange(1, 90_000).Draw(t, "lasting in ms")) * time.Millisecond
-		back := start.timeForWork(from, start.workBetween(from, from+lasting))
-		if math.Abs(back-lasting.Seconds()) > 1e-6 {
-			t.Errorf("timeForWork returned %v s for the work of %v", back, lasting)
+		duration := time.Duration(rapid.IntRange(1, 90_000).Draw(t, "duration in ms")) * time.Millisecond
+		seconds := start.timeForWork(from, start.workBetween(from, from+duration))
+		if math.Abs(seconds-duration.Seconds()) > 1e-6 {
+			t.Errorf("timeForWork returned %v s for the work of %v", seconds, duration)
 		}
 	})
 }
--- a/internal/emulator/model/slow_start.go
+++ b/internal/emulator/model/slow_start.go
@@ -9,13 +9,12 @@
 
 // slowStart models the capacity of an endpoint that warms up, as a share of its full capacity. The share grows
 // linearly from WarmUp.InitialCapacity to 1 within WarmUp.Duration after the start of the process, whatever the load
-// is.
+// is. Linear growth is the slowest growth that the specification allows.
 //
-// The model follows the operators' pages PROTOCOL and WIRE ("cold" endpoints, settings Safety.ColdFrom and
-// Safety.WarmWithinMs). Linear growth is the slowest growth that these pages allow.
+// Sources: PROTOCOL and WIRE, "cold" endpoints and the settings Safety.ColdFrom and Safety.WarmWithinMs.
 type slowStart struct {
-	initial   float64
-	duration  time.Duration
+	initial   float64       // capacity share at startedAt
+	duration  time.Duration // length of the warm-up
 	startedAt time.Duration // Unix time; 0: long ago
 }
 
@@ -42,15 +41,16 @@
 	return s.initial + (1-s.initial)*float64(elapsed)/float64(s.duration)
 }
 
-// workBetween returns the integral of the capacity share from one time to a later one, in seconds.
+// workBetween returns the integral of the capacity share from one time to a later one, in seconds. It is the time in
+// which a warm endpoint does the same work.
 func (s slowStart) workBetween(from, to time.Duration) float64 {
 	if s.isWarm(from) {
 		return (to - from).Seconds()
 	}
 	warmAt := s.startedAt + s.duration
 	growsUntil := min(to, warmAt)
-	whileGrowing := (growsUntil - from).Seconds() * (s.linearShare(from) + s.linearShare(growsUntil)) / 2
-	return whileGrowing + max(0, to-warmAt).Seconds()
+	warmUpWork := (growsUntil - from).Seconds() * (s.linearShare(from) + s.linearShare(growsUntil)) / 2
+	return warmUpWork + max(0, to-warmAt).Seconds()
 }
 
 // timeForWork returns the seconds after the given time at which workBetween reaches the given work, in seconds.
@@ -59,12 +59,12 @@
 		return max(0, work)
 	}
 	warmAt := s.startedAt + s.duration
-	whileGrowing := s.workBetween(from, warmAt)
-	if work >= whileGrowing {
-		return (warmAt - from).Seconds() + work - whileGrowing
+	warmUpWork := s.workBetween(from, warmAt)
+	if work >= warmUpWork {
+		return (warmAt - from).Seconds() + work - warmUpWork
 	}
-	level := s.capacityShare(from)
+	share := s.capacityShare(from)
 	slope := (1 - s.initial) / s.duration.Seconds()
-	// This is the positive root of level*t + slope*t*t/2 = work, in the form that stays precise for a small slope.
-	return 2 * work / (level + math.Sqrt(level*level+2*slope*work))
+	// This is the positive root of share*t + slope*t*t/2 = work, in the form that stays precise for a small slope.
+	return 2 * work / (share + math.Sqrt(share*share+2*slope*work))
 }
