--- a/internal/emulator/model/counter.go
+++ b/internal/emulator/model/counter.go
@@ -12,12 +12,13 @@
 	"springfield/internal/emulator"
 )
 
-// Bounds on the calls to the counter.
+// Limits of the counter's interface. A call whose name or amount exceeds its limit is invalid, and a longer TTL counts
+// as maxCounterTTL.
 const (
 	maxCounterNameBytes      = 64
-	maxCounterAmount         = 1e9
+	maxCounterAmount         = 1e9 // bound on the absolute value of an amount
 	maxCounterTTL            = time.Minute
-	counterSignificantDigits = 7 // precision of a total
+	counterSignificantDigits = 7 // decimal digits to which the total in an answer is rounded
 )
 
 // CounterSpec describes the shared counter.
@@ -61,20 +62,21 @@
 // amount in order. Rejected calls are answered at once, so that a connection with several calls has to put the
 // answers in order.
 //
-// The model follows the operators' pages PROTOCOL ("The counter"), WIRE (Add, Total) and BENCH (parts, which are the
-// shards, and the faults counter_down, origin_slow and flush).
+// Sources: PROTOCOL, "The counter"; WIRE, Add and Total; BENCH, parts of the counter (called shards here) and the
+// faults counter_down, origin_slow and flush.
 type Counter struct {
 	spec         CounterSpec
 	scheduler    emulator.Scheduler
 	random       *rand.Rand
 	state        CounterState
-	slowdown     float64
-	entries      map[string]*counterEntry
-	shardFreeAt  []time.Duration // by shard: when it can start the next call
-	lastAnswerAt []time.Duration // by shard: when the last of its answers is due
-	stopCount    uint64          // how often the counter has stopped; calls from before a stop are lost
+	slowdown     float64                  // factor by which calls take longer than usual
+	entries      map[string]*counterEntry // by name
+	shardFreeAt  []time.Duration          // by shard: when it can start the next call
+	lastAnswerAt []time.Duration          // by shard: when the last of its answers is due
+	stopCount    uint64                   // how often the counter has stopped; calls from before a stop are lost
 }
 
+// counterEntry is the total of one name. A name whose total has expired or was deleted gets a new entry.
 type counterEntry struct{ total float64 }
 
 // NewCounter returns a counter without totals. The random numbers determine which totals a flush deletes.
@@ -122,6 +124,7 @@
 	})
 }
 
+// validCounterCall reports whether the arguments of Add are within the limits of the counter.
 func validCounterCall(name string, amount float64, ttl time.Duration) bool {
 	return name != "" && len(name) <= maxCounterNameBytes &&
 		math.Abs(amount) <= maxCounterAmount && ttl >= time.Millisecond
@@ -157,6 +160,7 @@
 	return c.shardFreeAt[shard] - now, true
 }
 
+// counterShard returns the shard, counted from 0, that holds the total of a name.
 func counterShard(name string, shards int) int {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name)) // Write of a hash never returns an error
--- a/internal/emulator/model/ledger.go
+++ b/internal/emulator/model/ledger.go
@@ -11,30 +11,32 @@
 // quotaTolerance absorbs rounding errors in the levels of token buckets, in units.
 const quotaTolerance = 1e-9
 
-// Ledger accounts for the quotas and ceilings of all customers over all gateways together, which no gateway can see.
-// Quotas and ceilings are token buckets that start full. A request takes its units when it is first sent. A request
-// over quota takes nothing from the quota; every request takes from the ceiling.
+// Ledger accounts for the quotas and ceilings of all customers over all gateways together, while a gateway sees only
+// its own requests. Quotas and ceilings are token buckets that start full. A request takes its units when it is first
+// sent. A request over quota takes nothing from the quota; every request takes from the ceiling. Amounts are in units,
+// times are Unix time.
 //
-// The rules follow the operators' pages WIRE (Contracts, rule 5) and BENCH ("This kind of system"). Amounts are in
-// units, times are Unix time.
+// Sources: WIRE, Contracts, rule 5; BENCH, "This kind of system".
 type Ledger struct {
 	plans         []emulator.Plan
 	accounts      map[accountKey]*account
-	latestTime    time.Duration // latest time that the ledger has been called with
-	ceilingBroken []policy.CustomerID
+	latestTime    time.Duration       // latest time that the ledger has been called with
+	ceilingBroken []policy.CustomerID // customers who have exceeded their ceiling, in the order of their first excess
 }
 
+// accountKey identifies an account. A customer has an account for each plan under which it sends requests.
 type accountKey struct {
 	customer policy.CustomerID
 	plan     int
 }
 
+// account holds the quota and the ceiling of a customer.
 type account struct {
 	plan          *emulator.Plan
 	quota         tokenBucket
 	ceiling       tokenBucket
-	inFlight      float64
-	ceilingBroken bool
+	inFlight      float64 // attempts in flight
+	ceilingBroken bool    // whether the customer has ever exceeded its ceiling by more than the slack
 }
 
 // NewLedger returns a ledger in which all quotas are full.
@@ -102,7 +104,8 @@
 	entry.inFlight = max(0, entry.inFlight-1)
 }
 
-// CeilingBroken returns the customers who have exceeded their ceiling, in the order in which they first did.
+// CeilingBroken returns the customers who have exceeded their ceiling by more than Plan.CeilingSlack, in the order of
+// their first excess.
 func (l *Ledger) CeilingBroken() []policy.CustomerID { return l.ceilingBroken }
 
 // account returns a customer's account with its token buckets refilled up to the given time.
@@ -136,6 +139,7 @@
 	return tokenBucket{rate: rate, burst: burst, level: burst, updated: now}
 }
 
+// refill adds the units that the bucket has gained up to the given time.
 func (b *tokenBucket) refill(now time.Duration) {
 	if now <= b.updated {
 		return
--- a/internal/emulator/model/meter.go
+++ b/internal/emulator/model/meter.go
@@ -15,22 +15,25 @@
 // Meter adds up each customer's usage over all gateways, period by period. The sums of a period become known after a
 // delay from the end of the period, which is drawn for each period from Meter.DelayMin to Meter.DelayMax.
 //
-// The model follows the operators' pages PROTOCOL (Usage-Percent) and WIRE (FleetUse, Extra.UsePeriodMs). Usage is in
-// units, times are Unix time, and periods start at multiples of the period's length.
+// Usage is in units, times are Unix time, and periods start at multiples of the period's length.
+//
+// Sources: PROTOCOL, Usage-Percent; WIRE, FleetUse and Extra.UsePeriodMs.
 type Meter struct {
 	spec      emulator.Meter
 	random    *rand.Rand
-	silent    bool
-	started   bool
-	periodEnd time.Duration // end of the current period
-	current   usageByCustomer
-	pending   []meterPeriod // periods that have ended and are not known yet, in order
-	known     usageByCustomer
-	hasKnown  bool
+	silent    bool            // whether readings are turned off
+	started   bool            // whether periodEnd is set
+	periodEnd time.Duration   // end of the current period
+	current   usageByCustomer // usage in the current period
+	pending   []meterPeriod   // periods that have ended and are not known yet, in order
+	known     usageByCustomer // usage in the latest period that is known
+	hasKnown  bool            // whether any period is known
 }
 
+// usageByCustomer holds the units that each customer has used in a period.
 type usageByCustomer map[policy.CustomerID]float64
 
+// meterPeriod is a period that has ended, and the time at which its usage becomes known.
 type meterPeriod struct {
 	usage   usageByCustomer
 	knownAt time.Duration
@@ -89,6 +92,7 @@
 	}
 }
 
+// drawDelay draws the time from the end of a period until its usage is known.
 func (m *Meter) drawDelay() time.Duration {
 	spread := m.spec.DelayMax.AsDuration() - m.spec.DelayMin.AsDuration()
 	if spread <= 0 {
--- a/internal/emulator/model/usage_test.go
+++ b/internal/emulator/model/usage_test.go
@@ -57,25 +57,25 @@
 		DelayMax: emulator.Duration(500 * time.Millisecond),
 	}, rand.New(rand.NewPCG(1, 2)))
 	begin := 1000 * time.Second
-	changes := map[time.Duration]bool{}
+	delays := map[time.Duration]bool{}
 	for period := range 200 {
 		now := begin + time.Duration(period)*time.Second
 		meter.Record(now, 1, float64(period+1))
 		for after := time.Duration(0); after < time.Second; after += 10 * time.Millisecond {
 			share, _ := meter.Reading(now+after, 1, 1)
 			if share == float64(period) && period > 0 {
-				changes[after] = true
+				delays[after] = true
 				break
 			}
 		}
 	}
-	for after := range changes {
+	for after := range delays {
 		if after < 100*time.Millisecond || after > 500*time.Millisecond {
 			t.Errorf("a period became known after %v, want 100ms to 500ms", after)
 		}
 	}
-	if len(changes) < 30 { // the delays fall on 41 steps of 10 ms
-		t.Errorf("delays take %d different values, want about 40", len(changes))
+	if len(delays) < 30 { // the delays fall on 41 steps of 10 ms
+		t.Errorf("delays take %d different values, want about 40", len(delays))
 	}
 }
 
@@ -161,11 +161,12 @@
 	return &counterTest{Counter: counter, scheduler: scheduler}
 }
 
-func (c *counterTest) call(name string, amount float64, life time.Duration) {
-	c.Add(name, amount, life, func(result CounterResult) { c.results = append(c.results, result) })
+// call adds an amount and records the result.
+func (c *counterTest) call(name string, amount float64, ttl time.Duration) {
+	c.Add(name, amount, ttl, func(result CounterResult) { c.results = append(c.results, result) })
 }
 
-// expect advances the time and compares the results that have arrived since the last check.
+// expect advances the time and checks the results that have arrived since the previous call of expect.
 func (c *counterTest) expect(t *testing.T, after time.Duration, want ...CounterResult) {
 	t.Helper()
 	c.scheduler.RunUntil(c.scheduler.Now() + after)
@@ -206,7 +207,7 @@
 func TestCounterQueuesCallsAndRejectsLongWaits(t *testing.T) {
 	c := newCounterTest(CounterSpec{CallsPerSecond: 10, MaxWait: 150 * time.Millisecond})
 	c.SetSlowdown(2)
-	for range 3 { // each call takes 200 ms, so that the second and third would wait longer than MaxWait
+	for range 3 { // each call takes 200 ms, so that the second and the third would wait longer than MaxWait
 		c.call("a", 1, time.Second)
 	}
 	c.SetSlowdown(1)
