--- a/internal/emulator/model/doc.go
+++ b/internal/emulator/model/doc.go
@@ -3,6 +3,6 @@
 // model is driven by an emulator.Scheduler or by the times passed to it, and draws its random numbers from its own
 // generator, so that a scenario and a seed determine a run on virtual time.
 //
-// The models implement what the operators' pages (PROTOCOL, WIRE and others) specify. The comment of each model names
-// the page and section that it follows, and its units.
+// The models implement the operators' specification documents (BRIEF, BENCH, PROTOCOL, STANDING and WIRE). The comment
+// of a model describes the rule that it implements and its units, and names the document as its source.
 package model
--- a/internal/emulator/model/settings_test.go
+++ b/internal/emulator/model/settings_test.go
@@ -18,15 +18,15 @@
 	scenario.Classes[1].KeyTTL = emulator.Duration(3 * time.Second)
 
 	// A gateway reads the settings from the JSON of its configuration file.
-	text, err := json.Marshal(Settings(&scenario, 1))
+	encoded, err := json.Marshal(Settings(&scenario, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var read settings.Settings
-	if err := json.Unmarshal(text, &read); err != nil {
+	var decoded settings.Settings
+	if err := json.Unmarshal(encoded, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	config := settings.PolicyConfig(&read, 5)
+	config := settings.PolicyConfig(&decoded, 5)
 	if config.GatewayIndex != 1 || config.GatewayCount != 3 || config.Zone != 1 || config.PolledEndpoints {
 		t.Errorf("gateway: %+v", config)
 	}
--- a/internal/emulator/model/validate.go
+++ b/internal/emulator/model/validate.go
@@ -10,19 +10,19 @@
 	"springfield/internal/emulator"
 )
 
-// Upper bounds on the values of a scenario. They keep the time and memory that a run needs within reason.
+// Upper bounds on the values of a scenario. They bound the time and memory that a run needs.
 const (
-	maxLoad             = 100
-	maxCount            = 1_000_000
+	maxLoad             = 100       // load within the quotas, as a multiple of the capacity of all endpoints
+	maxCount            = 1_000_000 // counts without a bound of their own, such as cores and connections
 	maxRetries          = 20
 	maxZones            = 1000
 	maxGateways         = 100_000
 	maxEndpoints        = 1_000_000
-	maxFactor           = 1e6
-	maxQuantity         = 1e12
+	maxFactor           = 1e6  // factors, such as a slowdown
+	maxQuantity         = 1e12 // other numbers, such as rates, bursts and values
 	maxSkew             = 10
 	maxCustomers        = 2_000_000
-	maxScenarioDuration = 24 * time.Hour
+	maxScenarioDuration = 24 * time.Hour // every duration in a scenario
 )
 
 // shareTolerance allows for rounding errors in sums of shares.
@@ -86,7 +86,8 @@
 
 // requireDuration requires a duration from minimum to maximum.
 func (v *validator) requireDuration(path string, value emulator.Duration, minimum, maximum time.Duration) {
-	v.require(value.AsDuration() >= minimum && value.AsDuration() <= maximum, path, "is %v; want %v to %v", value.AsDuration(), minimum, maximum)
+	v.require(value.AsDuration() >= minimum && value.AsDuration() <= maximum,
+		path, "is %v; want %v to %v", value.AsDuration(), minimum, maximum)
 }
 
 // requireNonNegativeDuration requires a duration from 0 to maxScenarioDuration.
@@ -145,7 +146,8 @@
 func (v *validator) requireDelayRange(table string, minimum, maximum emulator.Duration) {
 	v.requireNonNegativeDuration(table+".delay_min", minimum)
 	v.requireNonNegativeDuration(table+".delay_max", maximum)
-	v.require(maximum >= minimum, table+".delay_max", "is %v; want at least delay_min, %v", maximum.AsDuration(), minimum.AsDuration())
+	v.require(maximum >= minimum, table+".delay_max",
+		"is %v; want at least delay_min, %v", maximum.AsDuration(), minimum.AsDuration())
 }
 
 func (v *validator) limits(limits *emulator.Limits) {
@@ -165,7 +167,8 @@
 		v.requireRange(path+".share", class.Share, 0, maxQuantity)
 		v.idempotency(path, class)
 		v.requireDuration(path+".objective", class.Objective, time.Millisecond, maxScenarioDuration)
-		v.requireDuration(path+".deadline", class.Deadline, max(time.Millisecond, class.Objective.AsDuration()), maxScenarioDuration)
+		v.requireDuration(path+".deadline", class.Deadline,
+			max(time.Millisecond, class.Objective.AsDuration()), maxScenarioDuration)
 		v.requireRange(path+".value", class.Value, 0, maxQuantity)
 		v.requireDuration(path+".work", class.Work, time.Microsecond, maxScenarioDuration)
 		v.requireRange(path+".work_spread", class.WorkSpread, 0, 1)
@@ -173,6 +176,8 @@
 	v.require(len(classes) == 0 || shares > 0, "classes", "have shares that add up to %v; want more than 0", shares)
 }
 
+// idempotency requires a known kind of idempotency and, for requests with an idempotency key, a scope and a TTL of the
+// key.
 func (v *validator) idempotency(path string, class *emulator.Class) {
 	v.requireOneOf(path+".idempotency", class.Idempotency, idempotencyRepeatable, idempotencyByKey, idempotencyNever)
 	if class.Idempotency == idempotencyByKey {
--- a/internal/emulator/model/validate_load.go
+++ b/internal/emulator/model/validate_load.go
@@ -27,7 +27,7 @@
 	v.requireRange("clients.abandon", clients.Abandon, 0, 1)
 }
 
-// usagePatterns checks the settings of the customers that do not stay well below their quotas.
+// usagePatterns checks the settings of the customers who use nearly all of their quota or exceed it.
 func (v *validator) usagePatterns(clients *emulator.Clients) {
 	v.requireRange("clients.full_share", clients.FullShare, 0, 1)
 	v.requireRange("clients.greedy_share", clients.GreedyShare, 0, 1)
@@ -79,7 +79,7 @@
 		v.requireSelection(path, fault)
 		v.requireLength(path, fault)
 	case emulator.FaultRestartGateways, emulator.FaultReplace:
-		v.requireSelection(path, fault) // a length of 0 is valid: all restart or are replaced at once
+		v.requireSelection(path, fault) // a length of 0 is valid: all targets restart or are replaced at once
 	case emulator.FaultSlowEndpoints:
 		v.requireSelection(path, fault)
 		v.requireLength(path, fault)
@@ -96,7 +96,7 @@
 		v.requirePositive(path+".factor", fault.Factor, maxFactor)
 	case emulator.FaultDiscoveryDown, emulator.FaultMeterSilence:
 		v.requireLength(path, fault)
-	case emulator.FaultWatchSilence, emulator.FaultDiscoveryMoves: // these happen at one moment and need no length
+	case emulator.FaultWatchSilence, emulator.FaultDiscoveryMoves: // faults of a single moment need no length
 	default:
 		v.require(false, path+".kind", "is %q, which is not a kind of fault", fault.Kind)
 	}
