--- a/internal/emulator/model/server_test.go
+++ b/internal/emulator/model/server_test.go
@@ -334,14 +334,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		start := slowStart{
 			initial:   rapid.Float64Range(0, 1).Draw(t, "initial"),
-			duration:  time.Duration(rapid.IntRange(1, 60_000).Draw(t, "warm-up in ms")) * time.Millisecond,
+			duration:  time.Duration(rapid.IntRange(1, 60_000).Draw(t, "duration in ms")) * time.Millisecond,
 			startedAt: serverTestStart,
 		}
 		from := serverTestStart + time.Duration(rapid.IntRange(0, 90_000).Draw(t, "from in ms"))*time.Millisecond
-		duration := time.Duration(rapid.IntRange(1, 90_000).Draw(t, "duration in ms")) * time.Millisecond
-		seconds := start.timeForWork(from, start.workBetween(from, from+duration))
-		if math.Abs(seconds-duration.Seconds()) > 1e-6 {
-			t.Errorf("timeForWork returned %v s for the work of %v", seconds, duration)
+		length := time.Duration(rapid.IntRange(1, 90_000).Draw(t, "length in ms")) * time.Millisecond
+		seconds := start.timeForWork(from, start.workBetween(from, from+length))
+		if math.Abs(seconds-length.Seconds()) > 1e-6 {
+			t.Errorf("timeForWork returned %v s for the work of %v", seconds, length)
 		}
 	})
 }
