--- a/internal/emulator/model/counter.go
+++ b/internal/emulator/model/counter.go
@@ -32,15 +32,15 @@
 // CounterStatus is the outcome of a call to the counter.
 type CounterStatus uint8
 
-// The outcomes of a call.
+// The outcomes of a call to the counter.
 const (
 	CounterAdded    CounterStatus = iota + 1
-	CounterRejected               // 503: the queue is too long, and nothing was added
-	CounterInvalid                // 400: the arguments are invalid, and nothing was added
+	CounterRejected               // status 503: the queue of the shard is too long, and nothing was added
+	CounterInvalid                // status 400: the arguments are invalid, and nothing was added
 	CounterRefused                // the connection was refused, and nothing was added
 )
 
-// CounterResult is the answer to a call.
+// CounterResult is the answer to a call to the counter.
 type CounterResult struct {
 	Status CounterStatus
 	Total  float64 // total after the call, to seven significant digits; set only with CounterAdded
--- a/internal/emulator/model/discovery_test.go
+++ b/internal/emulator/model/discovery_test.go
@@ -26,6 +26,7 @@
 	cancel    func() // cancels the latest watch
 }
 
+// discoveryTestStart is the Unix time at which the schedulers of the discovery tests start.
 const discoveryTestStart = 1000 * time.Second
 
 func newDiscoveryTest(spec emulator.Discovery) *discoveryTest {
--- a/internal/emulator/model/overload.go
+++ b/internal/emulator/model/overload.go
@@ -17,7 +17,7 @@
 	factor       float64         // WarmUp.OverloadFactor
 	window       time.Duration   // WarmUp.OverloadWindow
 	capacity     float64         // seconds of work that the endpoint does in a second when warm
-	meanWork     float64         // mean work of a request
+	meanWork     float64         // mean work of a request, seconds of one core at speed 1
 	arrivals     []warmUpArrival // requests within the window, in order of arrival
 	work         float64         // work of the arrivals within the window
 	informedWork float64         // part of work that came from informed gateways
--- a/internal/emulator/model/processor.go
+++ b/internal/emulator/model/processor.go
@@ -111,7 +111,8 @@
 	return time.Duration(math.Ceil(seconds * float64(time.Second)))
 }
 
-// taskQueue is a heap by endProgress. Tasks with the same endProgress are in the order in which they started.
+// taskQueue is a heap of tasks, ordered by endProgress. Tasks with the same endProgress are in the order in which they
+// started.
 type taskQueue []*task
 
 func (q taskQueue) Len() int { return len(q) }
--- a/internal/emulator/model/server_test.go
+++ b/internal/emulator/model/server_test.go
@@ -71,7 +71,7 @@
 	for number := range 3 { // three jobs share two cores of speed 2
 		s.expectEnd(t, number, 225*time.Millisecond, JobServed)
 	}
-	for number := 3; number < 5; number++ { // the two jobs that waited then have a core each
+	for number := 3; number < 5; number++ { // the two jobs that waited get a core each after that
 		s.expectEnd(t, number, 375*time.Millisecond, JobServed)
 	}
 	s.expectEnd(t, 5, 0, JobRejected)
--- a/internal/emulator/model/workload.go
+++ b/internal/emulator/model/workload.go
@@ -31,9 +31,9 @@
 	Request, Original emulator.RequestKey // key of this try, and key of the first try of the same request
 	Gateway           int                 // number of the gateway that the try is sent to
 	Customer          policy.CustomerID
-	Plan, Class       int
+	Plan, Class       int           // indices in Scenario.Plans and Scenario.Classes
 	Units, TrueUnits  float64       // size stated in the request, and the size that the usage is settled to
-	Work              time.Duration // on one core of an endpoint of speed 1; the same in every try
+	Work              time.Duration // work on one core of an endpoint of speed 1; the same in every try
 	SetFirst, SetSize int           // gateways that carry the customer: SetSize of them in a row from SetFirst
 	Deadline          time.Duration // Unix time at which the client gives up this try
 	LastDeadline      time.Duration // Unix time at which the client gives up the request with all its tries
@@ -219,7 +219,7 @@
 	if !w.scenario.Meter.Settled || w.scenario.Meter.GuessErr <= 0 {
 		return units
 	}
-	// A log-normal factor with this standard deviation of its logarithm and mean 1 has the standard deviation GuessErr.
+	// A log-normal factor with mean 1 has the standard deviation GuessErr if its logarithm has the deviation sigma.
 	sigma := math.Sqrt(math.Log1p(w.scenario.Meter.GuessErr * w.scenario.Meter.GuessErr))
 	estimate := units * math.Exp(sigma*w.random.NormFloat64()-sigma*sigma/2)
 	return min(max(estimate, 1), float64(w.scenario.Clients.MaxUnits))
@@ -259,7 +259,7 @@
 	customer int           // index in Workload.customers
 }
 
-// arrivalQueue is a heap by time, then by customer.
+// arrivalQueue is a heap of pending arrivals, ordered by time and then by customer.
 type arrivalQueue []pendingArrival
 
 func (q arrivalQueue) Len() int { return len(q) }
