--- a/internal/emulator/model/server_test.go
+++ b/internal/emulator/model/server_test.go
@@ -13,6 +13,7 @@
 	"springfield/policy"
 )
 
+// serverTestStart is the Unix time at which the schedulers of the tests start.
 const serverTestStart = 1_700_000_000 * time.Second
 
 // serverTest is a server that records when and with which result its jobs end.
@@ -22,6 +23,7 @@
 	ends      map[int]serverTestEnd // by job number
 }
 
+// serverTestEnd is the end of a job.
 type serverTestEnd struct {
 	after  time.Duration // since serverTestStart
 	result JobResult
@@ -54,7 +56,8 @@
 func (s *serverTest) expectEnd(t *testing.T, number int, after time.Duration, result JobResult) {
 	t.Helper()
 	got, ok := s.ends[number]
-	if off := got.after - after; !ok || got.result != result || off < -time.Microsecond || off > time.Microsecond {
+	if deviation := got.after - after; !ok || got.result != result ||
+		deviation < -time.Microsecond || deviation > time.Microsecond {
 		t.Errorf("job %d ended with %+v (ended: %v), want %v after %v", number, got, ok, result, after)
 	}
 }
@@ -68,7 +71,7 @@
 	for number := range 3 { // three jobs share two cores of speed 2
 		s.expectEnd(t, number, 225*time.Millisecond, JobServed)
 	}
-	for number := 3; number < 5; number++ { // the two jobs that waited then have a core each
+	for number := 3; number < 5; number++ { // the two jobs that waited get a core each after that
 		s.expectEnd(t, number, 375*time.Millisecond, JobServed)
 	}
 	s.expectEnd(t, 5, 0, JobRejected)
@@ -335,10 +338,10 @@
 			startedAt: serverTestStart,
 		}
 		from := serverTestStart + time.Duration(rapid.IntRange(0, 90_000).Draw(t, "from in ms"))*time.Millisecond
-		lasting := time.Duration(rapid.IntRange(1, 90_000).Draw(t, "lasting in ms")) * time.Millisecond
-		back := start.timeForWork(from, start.workBetween(from, from+lasting))
-		if math.Abs(back-lasting.Seconds()) > 1e-6 {
-			t.Errorf("timeForWork returned %v s for the work of %v", back, lasting)
+		length := time.Duration(rapid.IntRange(1, 90_000).Draw(t, "length in ms")) * time.Millisecond
+		seconds := start.timeForWork(from, start.workBetween(from, from+length))
+		if math.Abs(seconds-length.Seconds()) > 1e-6 {
+			t.Errorf("timeForWork returned %v s for the work of %v", seconds, length)
 		}
 	})
 }
