--- a/cmd/springfield/experiment.go
+++ b/cmd/springfield/experiment.go
@@ -111,9 +111,9 @@
 	if err != nil {
 		return experiment.Options{}, err
 	}
-	world := experiment.NewWorld(experiment.LoopbackOptions{Gateway: program, GatewayArgs: arguments,
+	runFunc := experiment.NewRunFunc(experiment.LoopbackOptions{Gateway: program, GatewayArgs: arguments,
 		Directory: c.Directory, Logger: slog.New(slog.NewTextHandler(env.stderr, nil))})
-	return experiment.Options{World: world, Version: version, Workers: c.Workers, Fresh: c.Fresh}, nil
+	return experiment.Options{RunFunc: runFunc, Version: version, Workers: c.Workers, Fresh: c.Fresh}, nil
 }
 
 func executeExperiment(ctx context.Context, env *environment, loaded *experiment.Experiment,
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -50,9 +50,9 @@
 	Scenario emulator.Scenario
 }
 
-// World carries out one run. It returns an error if the run could not be carried out or was interrupted. A broken rule
-// is not an error: the report contains it.
-type World func(ctx context.Context, run Run) (measure.Result, invariant.Report, error)
+// RunFunc carries out one run. It returns an error if the run could not be carried out or was interrupted. A broken
+// rule is not an error: the report contains it.
+type RunFunc func(ctx context.Context, run Run) (measure.Result, invariant.Report, error)
 
 // Runs returns the runs of the experiment, ordered by size, seed and decider, each in the order of the file.
 func (e *Experiment) Runs() []Run {
--- a/internal/experiment/loopback.go
+++ b/internal/experiment/loopback.go
@@ -41,8 +41,8 @@
 		e.Crashes, e.NotReady, e.UnknownRequests)
 }
 
-// newLoopbackWorld returns a World that runs gateway processes on loopback sockets.
-func newLoopbackWorld(options LoopbackOptions) World {
+// newLoopbackRunFunc returns a RunFunc that runs gateway processes on loopback sockets.
+func newLoopbackRunFunc(options LoopbackOptions) RunFunc {
 	return func(ctx context.Context, run Run) (result measure.Result, report invariant.Report, err error) {
 		if run.Decider != Springfield {
 			return result, report, &UnknownDeciderError{Name: run.Decider}
--- a/internal/experiment/loopback_test.go
+++ b/internal/experiment/loopback_test.go
@@ -39,7 +39,7 @@
 func TestLoopbackRunRequiresGatewayProgram(t *testing.T) {
 	run := shortExperiment(1).Runs()[0]
 	run.Form = FormLoopback
-	if _, _, err := NewWorld(LoopbackOptions{})(t.Context(), run); !errors.Is(err, ErrNoGateway) {
+	if _, _, err := NewRunFunc(LoopbackOptions{})(t.Context(), run); !errors.Is(err, ErrNoGateway) {
 		t.Errorf("the error is %v, want ErrNoGateway", err)
 	}
 }
--- a/internal/experiment/runner.go
+++ b/internal/experiment/runner.go
@@ -15,7 +15,7 @@
 
 // Options configure the execution of an experiment.
 type Options struct {
-	World    World
+	RunFunc  RunFunc
 	Version  string         // version of the program, under which results are stored
 	Workers  int            // maximum number of concurrent runs; 0: as in the experiment, or one per core
 	Store    *Store         // nil: results are not stored, and runs are not resumed
@@ -146,7 +146,7 @@
 		return runResult{record: stored, stored: stored != nil, err: err}
 	}
 	started := time.Now()
-	record.Result, record.Rules, err = e.options.World(ctx, run)
+	record.Result, record.Rules, err = e.options.RunFunc(ctx, run)
 	if err != nil {
 		return runResult{err: err}
 	}
--- a/internal/experiment/runner_test.go
+++ b/internal/experiment/runner_test.go
@@ -29,8 +29,9 @@
 	return store
 }
 
-// countingWorld returns a World whose results have as many requests as the seed of the run, and which counts its runs.
-func countingWorld(runs *atomic.Int64) World {
+// countingRunFunc returns a RunFunc that counts its calls and returns results with as many requests as the seed of the
+// run.
+func countingRunFunc(runs *atomic.Int64) RunFunc {
 	return func(_ context.Context, run Run) (measure.Result, invariant.Report, error) {
 		runs.Add(1)
 		var result measure.Result
@@ -51,7 +52,7 @@
 func TestExecuteReturnsRecordsInRunOrder(t *testing.T) {
 	var runs atomic.Int64
 	experiment := trialExperiment(9, 1, 5, 3, 7, 2)
-	outcome, err := Execute(t.Context(), experiment, Options{World: countingWorld(&runs), Version: "v1", Workers: 4})
+	outcome, err := Execute(t.Context(), experiment, Options{RunFunc: countingRunFunc(&runs), Version: "v1", Workers: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,16 +68,16 @@
 	ctx, interrupt := context.WithCancel(t.Context())
 	defer interrupt()
 	var runs atomic.Int64
-	fakeWorld := countingWorld(&runs)
+	countedRun := countingRunFunc(&runs)
 	interrupted := func(ctx context.Context, run Run) (measure.Result, invariant.Report, error) {
 		if run.Seed == 3 {
 			interrupt()
 			return measure.Result{}, invariant.Report{}, ctx.Err()
 		}
-		return fakeWorld(ctx, run)
+		return countedRun(ctx, run)
 	}
 	store := openTestStore(t, path)
-	outcome, err := Execute(ctx, experiment, Options{World: interrupted, Version: "v1", Workers: 1, Store: store})
+	outcome, err := Execute(ctx, experiment, Options{RunFunc: interrupted, Version: "v1", Workers: 1, Store: store})
 	if !errors.Is(err, context.Canceled) || len(outcome.Records) != 2 || outcome.Missing != 2 || outcome.Failed != 0 {
 		t.Fatalf("%d records, %d missing, %d failed, error %v", len(outcome.Records), outcome.Missing, outcome.Failed, err)
 	}
@@ -88,7 +89,7 @@
 	defer func() { _ = store.Close() }()
 	runs.Store(0)
 	var last Progress
-	outcome, err = Execute(t.Context(), experiment, Options{World: fakeWorld, Version: "v1", Store: store,
+	outcome, err = Execute(t.Context(), experiment, Options{RunFunc: countedRun, Version: "v1", Store: store,
 		Progress: func(progress Progress) { last = progress }})
 	if err != nil || outcome.Stored != 2 || runs.Load() != 2 {
 		t.Errorf("%d from the store, %d runs, error %v, want 2 and 2", outcome.Stored, runs.Load(), err)
@@ -107,7 +108,7 @@
 	store := openTestStore(t, filepath.Join(t.TempDir(), "results.db"))
 	defer func() { _ = store.Close() }()
 	var runs atomic.Int64
-	options := Options{World: countingWorld(&runs), Version: "v1", Store: store}
+	options := Options{RunFunc: countingRunFunc(&runs), Version: "v1", Store: store}
 	execute := func(what string, experiment *Experiment, options Options, want int64) {
 		t.Helper()
 		runs.Store(0)
@@ -143,14 +144,14 @@
 func TestFailedRunDoesNotStopOthers(t *testing.T) {
 	errBroken := errors.New("broken")
 	var runs atomic.Int64
-	fakeWorld := countingWorld(&runs)
+	countedRun := countingRunFunc(&runs)
 	failing := func(ctx context.Context, run Run) (measure.Result, invariant.Report, error) {
 		if run.Seed == 2 {
 			return measure.Result{}, invariant.Report{}, errBroken
 		}
-		return fakeWorld(ctx, run)
+		return countedRun(ctx, run)
 	}
-	outcome, err := Execute(t.Context(), trialExperiment(1, 2, 3), Options{World: failing, Version: "v1"})
+	outcome, err := Execute(t.Context(), trialExperiment(1, 2, 3), Options{RunFunc: failing, Version: "v1"})
 	if !errors.Is(err, errBroken) || outcome.Failed != 1 || outcome.Missing != 0 || len(outcome.Records) != 2 {
 		t.Errorf("%d failed, %d missing, %d records, error %v", outcome.Failed, outcome.Missing, len(outcome.Records), err)
 	}
@@ -161,28 +162,28 @@
 	experiment := trialExperiment(1, 2, 3, 4, 5)
 	experiment.Form = FormLoopback
 	var running atomic.Int64
-	world := func(context.Context, Run) (measure.Result, invariant.Report, error) {
+	runFunc := func(context.Context, Run) (measure.Result, invariant.Report, error) {
 		if running.Add(1) > 1 {
 			t.Error("two loopback runs are active at once")
 		}
 		running.Add(-1)
 		return measure.Result{}, invariant.Report{}, nil
 	}
-	if _, err := Execute(t.Context(), experiment, Options{World: world, Version: "v1", Workers: 4}); err != nil {
+	if _, err := Execute(t.Context(), experiment, Options{RunFunc: runFunc, Version: "v1", Workers: 4}); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // Guards against runs that broke a rule but are not reported.
 func TestRulesBrokenReturnsRecordsWithViolations(t *testing.T) {
-	world := func(_ context.Context, run Run) (measure.Result, invariant.Report, error) {
+	runFunc := func(_ context.Context, run Run) (measure.Result, invariant.Report, error) {
 		var report invariant.Report
 		if run.Seed == 2 {
 			report.Violations = []invariant.RuleReport{{Rule: invariant.RuleDrain, Count: 3}}
 		}
 		return measure.Result{}, report, nil
 	}
-	outcome, err := Execute(t.Context(), trialExperiment(1, 2), Options{World: world, Version: "v1"})
+	outcome, err := Execute(t.Context(), trialExperiment(1, 2), Options{RunFunc: runFunc, Version: "v1"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/world.go
+++ b/internal/experiment/virtual.go
@@ -17,18 +17,18 @@
 // Error implements error.
 func (e *UnknownDeciderError) Error() string { return fmt.Sprintf("there is no decider %q", e.Name) }
 
-// NewWorld returns a World that carries out runs of both forms.
-func NewWorld(options LoopbackOptions) World {
-	loopbackWorld := newLoopbackWorld(options)
+// NewRunFunc returns a RunFunc that carries out runs of both forms.
+func NewRunFunc(options LoopbackOptions) RunFunc {
+	runLoopback := newLoopbackRunFunc(options)
 	return func(ctx context.Context, run Run) (measure.Result, invariant.Report, error) {
 		if run.Form == FormLoopback {
-			return loopbackWorld(ctx, run)
+			return runLoopback(ctx, run)
 		}
 		return runVirtual(ctx, run)
 	}
 }
 
-// runVirtual carries out a run in virtual time. It is a World.
+// runVirtual carries out a run in virtual time. It is a RunFunc.
 func runVirtual(ctx context.Context, run Run) (measure.Result, invariant.Report, error) {
 	newDecider, err := deciderByName(run.Decider)
 	if err != nil {
--- a/internal/experiment/world_test.go
+++ b/internal/experiment/virtual_test.go
@@ -21,12 +21,12 @@
 func TestVirtualRunsDoNotDependOnWorkerCount(t *testing.T) {
 	experiment := shortExperiment(1, 2, 3)
 	experiment.Deciders = DeciderNames(FormVirtual)
-	world := NewWorld(LoopbackOptions{})
-	alone, err := Execute(t.Context(), experiment, Options{World: world, Version: "v1", Workers: 1})
+	runFunc := NewRunFunc(LoopbackOptions{})
+	alone, err := Execute(t.Context(), experiment, Options{RunFunc: runFunc, Version: "v1", Workers: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	together, err := Execute(t.Context(), experiment, Options{World: world, Version: "v1", Workers: 4})
+	together, err := Execute(t.Context(), experiment, Options{RunFunc: runFunc, Version: "v1", Workers: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 func TestVirtualRunStopsWhenContextEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, _, err := NewWorld(LoopbackOptions{})(ctx, shortExperiment(1).Runs()[0])
+	_, _, err := NewRunFunc(LoopbackOptions{})(ctx, shortExperiment(1).Runs()[0])
 	if !errors.Is(err, context.Canceled) {
 		t.Errorf("the error is %v, want context.Canceled", err)
 	}
@@ -61,11 +61,11 @@
 
 // Guards against a run with an unknown decider that starts, or whose error does not name the decider.
 func TestUnknownDeciderErrorContainsName(t *testing.T) {
-	world := NewWorld(LoopbackOptions{Directory: t.TempDir()})
+	runFunc := NewRunFunc(LoopbackOptions{Directory: t.TempDir()})
 	for _, form := range []Form{FormVirtual, FormLoopback} {
 		run := shortExperiment(1).Runs()[0]
 		run.Form, run.Decider = form, "shelbyville"
-		_, _, err := world(t.Context(), run)
+		_, _, err := runFunc(t.Context(), run)
 		var unknown *UnknownDeciderError
 		if !errors.As(err, &unknown) || unknown.Name != "shelbyville" {
 			t.Errorf("%s: the error is %v, want UnknownDeciderError", form, err)
