--- a/internal/emulator/loopback/agent.go
+++ b/internal/emulator/loopback/agent.go
@@ -148,8 +148,8 @@
 	a.deferUntil = max(a.deferUntil, a.world.scheduler.Now()+silenceNotificationDelay)
 }
 
-// migrate moves the agent to a new address. Calls at the old address get no answer from then on.
-func (a *agent) migrate() error {
+// moveToNewAddress moves the agent to a new address. Calls at the old address get no answer from then on.
+func (a *agent) moveToNewAddress() error {
 	old := a.server
 	if err := a.listen(); err != nil {
 		return err
--- a/internal/emulator/loopback/client.go
+++ b/internal/emulator/loopback/client.go
@@ -35,13 +35,13 @@
 	idleSince time.Duration // when the connection became idle, while it is kept
 }
 
-// deliveryFault is why a gateway has certainly or probably not read a request.
-type deliveryFault uint8
+// unreadCause is why a gateway has certainly or probably not read a request.
+type unreadCause uint8
 
 const (
-	deliveryFaultNone         deliveryFault = iota // the gateway may have read the request
-	deliveryFaultNoConnection                      // the gateway did not accept a new connection
-	deliveryFaultUnread                            // the gateway closed a kept connection, as if without reading
+	unreadCauseNone         unreadCause = iota // the gateway may have read the request
+	unreadCauseNoConnection                    // the gateway did not accept a new connection
+	unreadCauseClosed                          // the gateway closed a kept connection, as if without reading
 )
 
 // outcome is how a client's exchange with a gateway ended.
@@ -49,7 +49,7 @@
 	answer       emulator.Answer
 	body         string
 	retryAfter   time.Duration
-	fault        deliveryFault
+	unread       unreadCause
 	disconnected bool // the client closed its connection, or may retry elsewhere what the gateway has not read
 }
 
@@ -92,10 +92,10 @@
 // the load balancer in front of the gateways routes the request to another gateway if it can. The load balancer notices
 // a crash of a gateway only after a delay, so it does not reroute a request that a crash has lost.
 func (w *World) prepareResend(g *gateway, process *process, r *request, result *outcome) bool {
-	if result.fault == deliveryFaultNone || r.attempts > 0 || w.scheduler.Now() >= r.arrival.Deadline {
+	if result.unread == unreadCauseNone || r.attempts > 0 || w.scheduler.Now() >= r.arrival.Deadline {
 		return false
 	}
-	if result.fault == deliveryFaultUnread {
+	if result.unread == unreadCauseClosed {
 		resend := !r.resent && g.process == process && g.acceptsConnections()
 		r.resent = r.resent || resend
 		result.disconnected = !resend && g.shutdownRequested
@@ -122,7 +122,7 @@
 		dialer := net.Dialer{Timeout: clientDialTimeout}
 		dialed, err := dialer.DialContext(w.ctx, "tcp4", g.address)
 		if err != nil {
-			return outcome{answer: emulator.AnswerMissing, fault: deliveryFaultNoConnection}
+			return outcome{answer: emulator.AnswerMissing, unread: unreadCauseNoConnection}
 		}
 		conn = &clientConnection{Conn: dialed, reader: bufio.NewReader(dialed)}
 	}
@@ -177,7 +177,7 @@
 		return result
 	}
 	if conn.used && conn.reader.Buffered() == 0 {
-		result.fault = deliveryFaultUnread
+		result.unread = unreadCauseClosed
 	}
 	return result
 }
@@ -235,17 +235,17 @@
 			Answer:  result.answer,
 			Genuine: result.answer == emulator.AnswerServed && slices.Contains(r.bodies, result.body),
 		})
-	case result.fault != deliveryFaultNone:
+	case result.unread != unreadCauseNone:
 		w.observeDisconnected(r)
 		result.answer = emulator.AnswerRejected // the gateway has not read the request, so a retry is harmless
 	default:
-		w.settleRequest()
+		w.recordFinalOutcome()
 		return
 	}
 	now := w.scheduler.Now()
 	next, ok := w.workload.Retry(r.arrival, result.answer, result.retryAfter, now)
 	if !ok {
-		w.settleRequest()
+		w.recordFinalOutcome()
 		return
 	}
 	w.scheduler.After(next.At-now, func() { w.submit(next) })
--- a/internal/emulator/loopback/faults.go
+++ b/internal/emulator/loopback/faults.go
@@ -135,7 +135,7 @@
 		return
 	}
 	for _, g := range t.w.gateways {
-		err := g.agent.migrate()
+		err := g.agent.moveToNewAddress()
 		if err == nil {
 			err = g.writeConfig()
 		}
--- a/internal/emulator/loopback/harness_test.go
+++ b/internal/emulator/loopback/harness_test.go
@@ -112,13 +112,13 @@
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
-			showLogs(t, opts.Directory)
+			logGatewayLogs(t, opts.Directory)
 		}
 	})
 	return opts, o
 }
 
-func showLogs(t *testing.T, directory string) {
+func logGatewayLogs(t *testing.T, directory string) {
 	t.Helper()
 	logs, err := filepath.Glob(filepath.Join(directory, "*.log"))
 	if err != nil {
--- a/internal/emulator/loopback/run.go
+++ b/internal/emulator/loopback/run.go
@@ -12,8 +12,8 @@
 	// loadDelay is the time from the readiness of all gateways in Drive until the load begins.
 	loadDelay = 200 * time.Millisecond
 
-	// settleTimeout is how long after the last deadline a run may go on until all clients have their outcome.
-	settleTimeout = 10 * time.Second
+	// outcomeTimeout is how long after the last deadline a run may go on until all clients have their outcome.
+	outcomeTimeout = 10 * time.Second
 )
 
 // Run runs a scenario until its load is over and all of its requests are answered. If ctx ends first, it returns the
@@ -35,12 +35,12 @@
 	}
 	startTime := time.Now()
 	w.scheduler.Do(w.beginLoad)
-	maxDuration := loadDelay + w.scenario.Length.AsDuration() + w.longestDeadline() + settleTimeout
+	maxDuration := loadDelay + w.scenario.Length.AsDuration() + w.longestDeadline() + outcomeTimeout
 	timer := time.NewTimer(maxDuration)
 	defer timer.Stop()
 	var err error
 	select {
-	case <-w.settled:
+	case <-w.runFinished:
 	case <-timer.C:
 		err = ErrUnanswered
 	case <-ctx.Done():
@@ -76,24 +76,24 @@
 	arrival, ok := w.workload.Next()
 	if !ok {
 		w.loadEnded = true
-		w.checkSettled()
+		w.checkRunFinished()
 		return
 	}
-	w.unsettledRequests++
+	w.pendingRequests++
 	w.scheduler.After(arrival.At-w.scheduler.Now(), func() {
 		w.submit(arrival)
 		w.scheduleNextArrival()
 	})
 }
 
-// settleRequest records that a client has the outcome of a request and does not retry it.
-func (w *World) settleRequest() {
-	w.unsettledRequests--
-	w.checkSettled()
+// recordFinalOutcome records that a client has the outcome of a request and does not retry it.
+func (w *World) recordFinalOutcome() {
+	w.pendingRequests--
+	w.checkRunFinished()
 }
 
-func (w *World) checkSettled() {
-	if w.loadEnded && w.unsettledRequests == 0 {
-		close(w.settled)
+func (w *World) checkRunFinished() {
+	if w.loadEnded && w.pendingRequests == 0 {
+		close(w.runFinished)
 	}
 }
--- a/internal/emulator/loopback/world.go
+++ b/internal/emulator/loopback/world.go
@@ -50,9 +50,9 @@
 	notReady          int           // gateways that have never been ready
 	startFailed       chan struct{} // receives an item when a gateway ends before it was ever ready
 	clientConnections int           // client requests that have a connection or are opening one
-	unsettledRequests int           // client requests, sent or scheduled, that have no final outcome yet
+	pendingRequests   int           // client requests, sent or scheduled, that have no final outcome yet
 	loadEnded         bool          // the workload has no further first tries
-	settled           chan struct{} // closed when the load has ended and no request is unsettled
+	runFinished       chan struct{} // closed when the load has ended and no request is pending
 	summary           Summary
 }
 
@@ -96,7 +96,7 @@
 		ready:          make(chan struct{}),
 		notReady:       options.Scenario.Gateways,
 		startFailed:    make(chan struct{}, options.Scenario.Gateways),
-		settled:        make(chan struct{}),
+		runFinished:    make(chan struct{}),
 	}
 	w.ctx, w.cancel = context.WithCancel(ctx)
 	w.discovery = model.NewDiscovery(options.Scenario.Discovery, w.scheduler, model.StreamDiscovery.Random(options.Seed))
--- a/internal/emulator/virtual/gateway.go
+++ b/internal/emulator/virtual/gateway.go
@@ -23,9 +23,9 @@
 	// their clients.
 	exitMargin = 100 * time.Millisecond
 
-	// frontDrainDelay is how long the load balancer in front of the gateways sends new requests to a gateway after the
+	// loadBalancerDrainDelay is how long the load balancer in front of the gateways sends new requests to a gateway after the
 	// start of its shutdown.
-	frontDrainDelay = 300 * time.Millisecond
+	loadBalancerDrainDelay = 300 * time.Millisecond
 
 	// drainPollInterval is the time between two checks whether a draining gateway has answered its last request.
 	drainPollInterval = 10 * time.Millisecond
@@ -133,7 +133,7 @@
 			w.scheduler.After(r.deadline-now, func() { a.giveUp(policy.StatusTimedOut) })
 		}
 	}
-	w.scheduler.After(frontDrainDelay, func() {
+	w.scheduler.After(loadBalancerDrainDelay, func() {
 		if g.incarnation == incarnation {
 			g.inRotation = false
 		}
--- a/internal/emulator/virtual/run.go
+++ b/internal/emulator/virtual/run.go
@@ -51,7 +51,7 @@
 	startedAt := time.Now()
 	w := newWorld(&options)
 	w.start()
-	err := w.play(ctx)
+	err := w.runUntilFinished(ctx)
 	return Summary{
 		Events:      w.scheduler.Executed(),
 		Requests:    w.requests,
@@ -62,9 +62,9 @@
 	}, err
 }
 
-// play runs the scheduler until the load has ended and no request is pending, at most until lateAnswerPeriod after the
+// runUntilFinished runs the scheduler until the load has ended and no request is pending, at most until lateAnswerPeriod after the
 // last deadline.
-func (w *world) play(ctx context.Context) error {
+func (w *world) runUntilFinished(ctx context.Context) error {
 	loadEnd := StartTime + w.scenario.Length.AsDuration()
 	latestEnd := loadEnd + lateAnswerPeriod
 	for i := range w.scenario.Classes {
--- a/internal/emulator/virtual/world_test.go
+++ b/internal/emulator/virtual/world_test.go
@@ -87,7 +87,7 @@
 }
 
 // after runs the world until a time after the start.
-func (w *testWorld) after(passed time.Duration) { w.scheduler.RunUntil(StartTime + passed) }
+func (w *testWorld) after(elapsed time.Duration) { w.scheduler.RunUntil(StartTime + elapsed) }
 
 // observed returns the observations of one type.
 func observed[T emulator.Observation](w *testWorld) []T {
--- a/internal/experiment/student_t.go
+++ b/internal/experiment/student_t.go
@@ -66,11 +66,11 @@
 	logA, _ := math.Lgamma(a)
 	logB, _ := math.Lgamma(b)
 	logSum, _ := math.Lgamma(a + b)
-	front := math.Exp(logSum - logA - logB + a*math.Log(x) + b*math.Log1p(-x))
+	prefactor := math.Exp(logSum - logA - logB + a*math.Log(x) + b*math.Log1p(-x))
 	if x < (a+1)/(a+b+2) { // where the continued fraction converges fast
-		return front * betaFraction(x, a, b) / a
+		return prefactor * betaFraction(x, a, b) / a
 	}
-	return 1 - front*betaFraction(1-x, b, a)/b
+	return 1 - prefactor*betaFraction(1-x, b, a)/b
 }
 
 // betaFraction evaluates the continued fraction of the incomplete beta function by the modified Lentz method.
--- a/internal/measure/outcome.go
+++ b/internal/measure/outcome.go
@@ -58,22 +58,22 @@
 // served records the latency and the earned value of the first genuine response to a request. Responses to other tries
 // of the request earn nothing.
 func (r *Recorder) served(at time.Duration, t *try, kind outcomeKind) {
-	owner := t.request
-	if owner.outcomeKind == outcomeServed || owner.outcomeKind == outcomeLate {
+	req := t.request
+	if req.outcomeKind == outcomeServed || req.outcomeKind == outcomeLate {
 		return
 	}
-	latency := at - owner.submitted
+	latency := at - req.submitted
 	r.timeline.latency.record(latency)
-	r.forEachGroup(owner, func(g *group) { g.latency.record(latency) })
+	r.forEachGroup(req, func(g *group) { g.latency.record(latency) })
 	if kind == outcomeLate {
 		return
 	}
-	earned := owner.value
+	earned := req.value
 	if !t.inQuota {
-		earned *= r.scenario.Plans[owner.plan].OverQuotaValue
+		earned *= r.scenario.Plans[req.plan].OverQuotaValue
 	}
-	r.forEachGroup(owner, func(g *group) { g.value.addEarned(earned, t.inQuota) })
-	r.timeline.at(owner.submitted).EarnedValue += earned
+	r.forEachGroup(req, func(g *group) { g.value.addEarned(earned, t.inQuota) })
+	r.timeline.at(req.submitted).EarnedValue += earned
 }
 
 func (r *Recorder) disconnected(at time.Duration, key emulator.RequestKey) {
--- a/internal/measure/quota.go
+++ b/internal/measure/quota.go
@@ -33,9 +33,9 @@
 	}
 }
 
-func (q *quota) attemptReceived(owner *request) { q.ledger.BeginAttempt(owner.customer, owner.plan) }
+func (q *quota) attemptReceived(req *request) { q.ledger.BeginAttempt(req.customer, req.plan) }
 
-func (q *quota) attemptEnded(owner *request) { q.ledger.EndAttempt(owner.customer, owner.plan) }
+func (q *quota) attemptEnded(req *request) { q.ledger.EndAttempt(req.customer, req.plan) }
 
 // singleGateway is a hypothetical gateway that sees all first tries. It admits the requests that are inside the quotas
 // and executes each of them immediately for the mean work of its class, so that the admitted requests do not depend on
--- a/internal/measure/recorder.go
+++ b/internal/measure/recorder.go
@@ -14,9 +14,9 @@
 	start     time.Duration
 	lastEvent time.Duration // time of the latest event of a request or an attempt
 
-	open      openRequests
-	quota     *quota
-	reference *singleGateway
+	open         openRequests
+	quota        *quota
+	idealGateway *singleGateway
 
 	overall      group
 	plans        []group
@@ -34,15 +34,15 @@
 // NewRecorder returns a recorder for a run of the scenario whose load begins at start.
 func NewRecorder(scenario *emulator.Scenario, start time.Duration) *Recorder {
 	recorder := &Recorder{
-		scenario:  scenario,
-		start:     start,
-		lastEvent: start,
-		open:      newOpenRequests(len(scenario.Classes)),
-		quota:     newQuota(scenario),
-		reference: newSingleGateway(scenario),
-		overall:   newGroup(""),
-		endpoints: newEndpointLoads(start),
-		timeline:  newTimeline(start, len(scenario.Plans)),
+		scenario:     scenario,
+		start:        start,
+		lastEvent:    start,
+		open:         newOpenRequests(len(scenario.Classes)),
+		quota:        newQuota(scenario),
+		idealGateway: newSingleGateway(scenario),
+		overall:      newGroup(""),
+		endpoints:    newEndpointLoads(start),
+		timeline:     newTimeline(start, len(scenario.Plans)),
 	}
 	for i := range scenario.Plans {
 		recorder.plans = append(recorder.plans, newGroup(scenario.Plans[i].Name))
@@ -91,9 +91,9 @@
 	second := r.timeline.current()
 	second.Tries++
 	second.Plans[o.Plan].RequestedUnits += o.Units
-	owner, known := r.open.requests[o.Original]
+	req, known := r.open.requests[o.Original]
 	if o.Original == o.Request {
-		owner = r.newRequest(at, o)
+		req = r.newRequest(at, o)
 		second.Requests++
 	} else {
 		r.attempts.ClientRetries++
@@ -101,7 +101,7 @@
 			return // the request's last deadline has passed
 		}
 	}
-	r.open.addTry(&try{key: o.Request, request: owner, deadline: o.Deadline, units: o.Units, trueUnits: o.Units})
+	r.open.addTry(&try{key: o.Request, request: req, deadline: o.Deadline, units: o.Units, trueUnits: o.Units})
 }
 
 func (r *Recorder) newRequest(at time.Duration, o *emulator.RequestSubmitted) *request {
@@ -117,7 +117,7 @@
 	}
 	r.open.addRequest(opened)
 	second := r.timeline.current()
-	if r.reference.admits(at, o) {
+	if r.idealGateway.admits(at, o) {
 		second.RequestedInQuotaValue += opened.value
 		second.RequestedValue += opened.value
 		r.forEachGroup(opened, func(g *group) { g.value.addRequestedInQuota(opened.value) })
@@ -130,10 +130,10 @@
 }
 
 // forEachGroup calls update for the groups that a request belongs to: the whole run, its plan and its class.
-func (r *Recorder) forEachGroup(owner *request, update func(*group)) {
+func (r *Recorder) forEachGroup(req *request, update func(*group)) {
 	update(&r.overall)
-	update(&r.plans[owner.plan])
-	update(&r.classes[owner.class])
+	update(&r.plans[req.plan])
+	update(&r.classes[req.class])
 }
 
 func (r *Recorder) forwarded(o *emulator.AttemptForwarded) {
--- a/internal/report/plot.go
+++ b/internal/report/plot.go
@@ -45,7 +45,7 @@
 	endOfLoadWidth = vg.Length(0.8)
 	titleSize      = vg.Length(11)
 	headroomFactor = 1.1 // length of the vertical axis over the highest value; leaves room for the labels of faults
-	minTop         = 1.0
+	minAxisTop     = 1.0
 )
 
 // missingValue returns the value that leaves a gap in a curve.
@@ -71,7 +71,7 @@
 			}
 		}
 	}
-	limits.top = max(limits.top, minTop) * headroomFactor
+	limits.top = max(limits.top, minAxisTop) * headroomFactor
 	return limits
 }
 
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	testStart    = 1_700_000_000 * time.Second
-	testRequests = 400
-	hostileName  = `<script>alert("&")</script>`
+	testStart      = 1_700_000_000 * time.Second
+	testRequests   = 400
+	nameWithMarkup = `<script>alert("&")</script>`
 )
 
 // recordedResult returns the result of a short run in which every fifth request is rejected.
@@ -50,7 +50,7 @@
 	return recorder.Result(testStart + 8*time.Second)
 }
 
-func pageOf(t *testing.T, results ...NamedResult) string {
+func renderPage(t *testing.T, results ...NamedResult) string {
 	t.Helper()
 	var buffer bytes.Buffer
 	if err := WriteHTML(&buffer, results); err != nil {
@@ -61,7 +61,7 @@
 
 // Guards against a page that lacks results, plots, faults or the note on omitted endpoints.
 func TestPageShowsResultsSideBySide(t *testing.T) {
-	page := pageOf(t, NamedResult{"first", recordedResult("basic")}, NamedResult{"second", recordedResult("basic")})
+	page := renderPage(t, NamedResult{"first", recordedResult("basic")}, NamedResult{"second", recordedResult("basic")})
 	for _, want := range []string{"320 (80.0%)", "80 (20.0%)", "F1", "resets", "4 more", "end of the load"} {
 		if !strings.Contains(page, want) {
 			t.Errorf("page lacks %q", want)
@@ -74,7 +74,7 @@
 
 // Guards against a page that contains scripts or loads other files.
 func TestPageIsSelfContained(t *testing.T) {
-	page := pageOf(t, NamedResult{"only", recordedResult("basic")})
+	page := renderPage(t, NamedResult{"only", recordedResult("basic")})
 	for _, forbidden := range []string{"<script", "<link", "<img", "@import", "url(", "src=", "<?xml", "<!DOCTYPE svg"} {
 		if strings.Contains(page, forbidden) {
 			t.Errorf("page contains %q", forbidden)
@@ -84,15 +84,15 @@
 
 // Guards against names of results or plans that inject markup into the page.
 func TestPageEscapesNames(t *testing.T) {
-	if page := pageOf(t, NamedResult{hostileName, recordedResult(hostileName)}); strings.Contains(page, "<script") {
+	if page := renderPage(t, NamedResult{nameWithMarkup, recordedResult(nameWithMarkup)}); strings.Contains(page, "<script") {
 		t.Error("the page contains a name that is not escaped")
 	}
 }
 
 // Guards against a page that differs between two renderings of equal results.
 func TestPageIsDeterministic(t *testing.T) {
-	first := pageOf(t, NamedResult{"same", recordedResult("basic")})
-	if second := pageOf(t, NamedResult{"same", recordedResult("basic")}); first != second {
+	first := renderPage(t, NamedResult{"same", recordedResult("basic")})
+	if second := renderPage(t, NamedResult{"same", recordedResult("basic")}); first != second {
 		t.Error("got two different pages of equal results")
 	}
 }
@@ -101,7 +101,7 @@
 func TestPageShowsResultsWithoutRequests(t *testing.T) {
 	scenario := emulator.Scenario{Length: emulator.Duration(time.Second)}
 	empty := measure.NewRecorder(&scenario, testStart).Result(testStart)
-	pageOf(t, NamedResult{"empty", empty}, NamedResult{"zero", measure.Result{}})
+	renderPage(t, NamedResult{"empty", empty}, NamedResult{"zero", measure.Result{}})
 }
 
 // Guards against an empty page when there are no results.
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -127,9 +127,9 @@
 
 // Parameters of scheduled faults.
 const (
-	faultShare = 0.3 // share of the gateways or endpoints that are affected
-	slowFactor = 6   // slowdown of slow endpoints and late lists
-	failFactor = 0.3 // share of the requests or attempts that are affected
+	affectedShare  = 0.3 // share of the gateways or endpoints that are affected
+	slowdownFactor = 6   // slowdown of slow endpoints and late lists
+	failureShare   = 0.3 // share of the requests or attempts that are affected
 )
 
 func scheduledFault(fault Fault) emulator.Fault {
@@ -137,12 +137,12 @@
 		Kind:   emulator.FaultKind(fault.Kind),
 		At:     emulator.Duration(fault.At),
 		Length: emulator.Duration(fault.Length),
-		Share:  faultShare,
-		Factor: failFactor,
+		Share:  affectedShare,
+		Factor: failureShare,
 	}
 	switch scheduled.Kind {
 	case emulator.FaultSlowEndpoints, emulator.FaultLateLists:
-		scheduled.Factor = slowFactor
+		scheduled.Factor = slowdownFactor
 	}
 	return scheduled
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -153,7 +153,7 @@
 		}
 		return
 	case SpoiltBytes:
-		r.world.SpoilBytes(failFactor, fault.Length)
+		r.world.SpoilBytes(failureShare, fault.Length)
 		return
 	}
 	for position, gateway := range r.pickGateways(fault) {
