--- a/internal/emulator/loopback/address.go
+++ b/internal/emulator/loopback/address.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	minSecondOctet   = 16 // 127.0.0.0/12 is left to other programs
+	minSecondOctet   = 16 // other programs use addresses of 127.0.0.0/12
 	secondOctetCount = 224
 	octetValues      = 256
 )
 
+// subnetsAllocated counts the subnets that this process has allocated.
 var subnetsAllocated atomic.Uint32
 
-// subnet is the network 127.a.b.0/24 of one world. Worlds that run at the same time usually have different subnets.
+// subnet is the network 127.a.b.0/24 of one world. Worlds that run concurrently usually have different subnets.
 // Ports that the kernel assigns in a subnet do not clash with those of outgoing connections, which come from 127.0.0.1.
 type subnet struct{ secondOctet, thirdOctet int }
 
@@ -40,7 +41,7 @@
 	return net.Listen("tcp4", net.JoinHostPort(s.host(hostNumber), "0"))
 }
 
-// reserve returns count distinct addresses at a host of the subnet on which nobody listens. It closes its listeners
+// reserve returns count distinct addresses at a host of the subnet on which no program listens. It closes its listeners
 // only after it has all addresses, so that the kernel assigns no port twice.
 func (s subnet) reserve(hostNumber, count int) (addresses []string, err error) {
 	for range count {
--- a/internal/emulator/loopback/agent.go
+++ b/internal/emulator/loopback/agent.go
@@ -24,19 +24,19 @@
 	agentHeaderTimeout = 5 * time.Second
 )
 
-// agent is one gateway's view of discovery. With pushed discovery it is the agent on the gateway's machine: it holds
-// the list that model.Discovery has delivered, and the gateway counts as notified of that list. With polled discovery
-// it is the shared service at an address of its own, and each call or watch opens a watch of model.Discovery. The
-// fields of an agent are accessed only in the scheduler.
+// agent is the server that answers the discovery calls of one gateway. With pushed discovery it models the agent on the
+// gateway's machine: it holds the list that model.Discovery has delivered, and the gateway counts as notified of that
+// list. With polled discovery it models the shared discovery service: each call or watch opens a watch of
+// model.Discovery. The fields of an agent are accessed only in the scheduler.
 type agent struct {
 	world   *World
 	gateway int
 
-	version uint64 // version of the pushed list; 0: none has been delivered yet
+	version uint64 // version of the pushed list; 0 before the first delivery
 	entries map[policy.EndpointID]policy.Endpoint
 
 	watches    []*watch
-	changed    chan struct{} // closed and replaced at each change that may let a waiting call go on
+	changed    chan struct{} // closed and replaced at each change after which a waiting call may be answered
 	generation int           // number of addresses that the agent has had
 	address    string
 	server     *http.Server
@@ -56,7 +56,7 @@
 	return a, a.listen()
 }
 
-// listen opens a listener at a new address and makes it the one at which calls are answered.
+// listen opens a listener at a new address, the only one at which calls are answered from then on.
 func (a *agent) listen() error {
 	listener, err := a.world.subnet.listen(discoveryHost)
 	if err != nil {
@@ -73,7 +73,7 @@
 		}),
 	}
 	a.server = server
-	a.world.goroutines.Go(func() { _ = server.Serve(listener) }) // returns http.ErrServerClosed once it is closed
+	a.world.goroutines.Go(func() { _ = server.Serve(listener) }) // Serve returns http.ErrServerClosed after a close
 	return nil
 }
 
@@ -148,7 +148,7 @@
 	a.deferUntil = max(a.deferUntil, a.world.scheduler.Now()+silenceNotificationDelay)
 }
 
-// moveToNewAddress moves the agent to a new address. Calls at the old address get no answer from then on.
+// moveToNewAddress moves the agent to a new address. Calls to the old address get no answer from then on.
 func (a *agent) moveToNewAddress() error {
 	old := a.server
 	if err := a.listen(); err != nil {
@@ -159,7 +159,7 @@
 	}
 	a.wakeCalls()
 	a.deferUntil = max(a.deferUntil, a.world.scheduler.Now()+moveNotificationDelay)
-	a.world.scheduler.After(moveNotificationDelay, func() { _ = old.Close() }) // no call at the old address is answered
+	a.world.scheduler.After(moveNotificationDelay, func() { _ = old.Close() }) // an error affects only unanswered calls
 	return nil
 }
 
@@ -169,12 +169,13 @@
 	a.changed = make(chan struct{})
 }
 
-// close closes the listener and the connections. All calls have ended before, with the context of the world.
+// close closes the listener and the connections. It is called after the end of the world's context, which has ended all
+// calls.
 func (a *agent) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), agentShutdownTimeout)
 	defer cancel()
 	if a.server.Shutdown(ctx) != nil {
-		_ = a.server.Close() // closes the listener and the connections even if it returns an error
+		_ = a.server.Close() // Close closes the listener and the connections even if it returns an error
 	}
 }
 
--- a/internal/emulator/loopback/attempt.go
+++ b/internal/emulator/loopback/attempt.go
@@ -17,8 +17,8 @@
 	request  *request
 	number   int
 	conn     *upstreamConnection
-	answered chan<- struct{} // closed when the response has been written and the connection stays open
-	deadline time.Duration   // when the gateway gives the attempt up, according to its Req-Deadline header
+	answered chan<- struct{} // closed when the response has been written and the connection remains open
+	deadline time.Duration   // when the gateway gives the attempt up, according to the Req-Deadline header
 
 	submitted bool // the attempt was complete and was passed to the endpoint's model as a job
 	rejected  bool // the endpoint does not execute the attempt
@@ -60,7 +60,8 @@
 }
 
 // endClosedAttempts ends the attempts of a request whose connections the gateway has closed. The goroutines of these
-// connections may not have noticed it yet, and the next attempt must not count as concurrent with a closed one.
+// connections may not have detected the close yet, and the next attempt must not count as concurrent with an attempt
+// on a closed connection.
 func (w *World) endClosedAttempts(clientRequest *request) {
 	for _, earlier := range slices.Clone(clientRequest.inFlight) {
 		if peerHasClosed(earlier.conn.conn) {
--- a/internal/emulator/loopback/byte_faults.go
+++ b/internal/emulator/loopback/byte_faults.go
@@ -10,19 +10,20 @@
 // byteFault is a fault in the transmission of a response.
 type byteFault struct {
 	kind     byteFaultKind
-	position float64 // where the fault occurs, as a share of the encoded response
+	position float64 // share of the encoded response that is sent before the fault
 }
 
+// byteFaultKind is the kind of a byteFault.
 type byteFaultKind uint8
 
 const (
 	byteFaultNone      byteFaultKind = iota
-	byteFaultReset                   // the connection is reset after a part of the response
-	byteFaultHalfClose               // the endpoint closes its sending side after a part and keeps reading
-	byteFaultStall                   // nothing is sent for stallDuration after a part of the response
-	byteFaultTrickle                 // trickleChunkBytes are sent at a time
-	byteFaultDuplicate               // the response is sent twice
-	byteFaultKindCount
+	byteFaultReset                   // the endpoint resets the connection after a part of the response
+	byteFaultHalfClose               // the endpoint closes its sending side after a part of the response and keeps reading
+	byteFaultStall                   // the endpoint pauses for stallDuration after a part of the response
+	byteFaultTrickle                 // the endpoint sends trickleChunkBytes at a time, trickleInterval apart
+	byteFaultDuplicate               // the endpoint sends the response twice
+	byteFaultKindCount               // number of kinds
 )
 
 const (
@@ -50,9 +51,9 @@
 	offset := int(fault.position * float64(len(encoded)))
 	switch fault.kind {
 	case byteFaultReset, byteFaultHalfClose:
-		_, _ = c.conn.Write(encoded[:offset]) // the response is truncated in any case
+		_, _ = c.conn.Write(encoded[:offset]) // an error truncates the response, as the fault does
 		if tcp, ok := c.conn.(*net.TCPConn); ok && fault.kind == byteFaultHalfClose {
-			_ = tcp.CloseWrite() // fails only on a closed connection
+			_ = tcp.CloseWrite() // an error means that the connection is closed already
 			c.endpoint.world.sleep(stallDuration)
 			return errTruncated
 		}
--- a/internal/emulator/loopback/client.go
+++ b/internal/emulator/loopback/client.go
@@ -19,7 +19,7 @@
 const (
 	clientDialTimeout = time.Second
 
-	// answerSlack extends model.AnswerGrace: deployments over sockets get 50 ms more for every time limit.
+	// answerSlack is added to model.AnswerGrace, because time limits are 50 ms longer over sockets than in virtual time.
 	answerSlack = 50 * time.Millisecond
 
 	// drainConnectTime is how long after SIGTERM clients still open new connections to a gateway. They go on using kept
@@ -31,29 +31,29 @@
 type clientConnection struct {
 	net.Conn
 	reader    *bufio.Reader
-	used      bool          // a request has been answered on the connection
-	idleSince time.Duration // when the connection became idle, while it is kept
+	used      bool          // at least one request has been answered on the connection
+	idleSince time.Duration // when the connection became idle; meaningful only while it is kept
 }
 
-// unreadCause is why a gateway has certainly or probably not read a request.
+// unreadCause is the reason why a gateway has certainly or probably not read a request.
 type unreadCause uint8
 
 const (
 	unreadCauseNone         unreadCause = iota // the gateway may have read the request
 	unreadCauseNoConnection                    // the gateway did not accept a new connection
-	unreadCauseClosed                          // the gateway closed a kept connection, as if without reading
+	unreadCauseClosed                          // the gateway closed a kept connection without an answer
 )
 
-// outcome is how a client's exchange with a gateway ended.
+// outcome describes how a client's exchange with a gateway ended.
 type outcome struct {
 	answer       emulator.Answer
 	body         string
 	retryAfter   time.Duration
 	unread       unreadCause
-	disconnected bool // the client closed its connection, or may retry elsewhere what the gateway has not read
+	disconnected bool // the client closed its connection, or may retry because the gateway has not read the request
 }
 
-// submit sends a try of a client: a first request or a retry. It runs in the scheduler.
+// submit sends a try of a client, which is a first request or a retry. It runs in the scheduler.
 func (w *World) submit(arrival model.Arrival) {
 	w.summary.Requests++
 	arrival.Gateway = w.workload.Redirect(&arrival, func(number int) bool { return w.gateways[number].takesRequests() })
@@ -90,7 +90,7 @@
 // prepareResend reports whether a request is to be sent once more because the gateway has not read it: the gateway
 // closed a kept connection as the request arrived, or it shuts down and accepts no new connections. In the second case
 // the load balancer in front of the gateways routes the request to another gateway if it can. The load balancer notices
-// a crash of a gateway only after a delay, so it does not reroute a request that a crash has lost.
+// a crash of a gateway only after a delay, so it does not reroute a request that was lost in a crash.
 func (w *World) prepareResend(g *gateway, process *process, r *request, result *outcome) bool {
 	if result.unread == unreadCauseNone || r.attempts > 0 || w.scheduler.Now() >= r.arrival.Deadline {
 		return false
@@ -172,7 +172,7 @@
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		result.disconnected = r.arrival.AbandonAt > 0 && w.scheduler.Now() >= r.arrival.AbandonAt
 		if result.disconnected {
-			w.scheduler.Do(func() { w.observeDisconnected(r) }) // must precede the close of the connection
+			w.scheduler.Do(func() { w.observeDisconnected(r) }) // the observation must precede the close of the connection
 		}
 		return result
 	}
--- a/internal/emulator/loopback/connections.go
+++ b/internal/emulator/loopback/connections.go
@@ -8,7 +8,7 @@
 // closeWithReset closes a connection with a TCP reset instead of an orderly close.
 func closeWithReset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails on a closed connection
+		_ = tcp.SetLinger(0) // an error means that the connection is closed already
 	}
 	_ = conn.Close() // the connection may be closed already
 }
--- a/internal/emulator/loopback/endpoint.go
+++ b/internal/emulator/loopback/endpoint.go
@@ -19,7 +19,7 @@
 	server     *model.Server
 	address    string
 	listener   net.Listener // nil while the endpoint's process is stopped
-	partitions int          // active partitions that separate the endpoint from all gateways
+	partitions int          // number of active partitions that separate the endpoint from all gateways
 
 	connections []*upstreamConnection // open connections in the order of their acceptance
 }
@@ -136,7 +136,7 @@
 
 func (e *endpoint) closeListener() {
 	if e.listener != nil {
-		_ = e.listener.Close() // no other code closes it, so it is still open
+		_ = e.listener.Close() // the listener is still open, because no other code closes it
 		e.listener = nil
 	}
 }
@@ -149,7 +149,7 @@
 	return w.endpoints[id-1]
 }
 
-// endpointAddress returns the address of an endpoint, or "" if there is no such endpoint. It is an addressLookup.
+// endpointAddress returns the address of an endpoint, or "" if there is no such endpoint. It implements addressLookup.
 func (w *World) endpointAddress(id policy.EndpointID) string {
 	if e := w.endpoint(id); e != nil {
 		return e.address
--- a/internal/emulator/loopback/endpoint_list.go
+++ b/internal/emulator/loopback/endpoint_list.go
@@ -53,7 +53,8 @@
 	return message
 }
 
-// startedMS returns a start time in milliseconds, as discovery reports it. The start time 0 means long ago and stays 0.
+// startedMS returns a start time in milliseconds, as discovery reports it. The start time 0, which stands for an
+// unknown time long ago, remains 0.
 func startedMS(startedAt, clockOffset time.Duration) int64 {
 	if startedAt <= 0 {
 		return 0
@@ -61,7 +62,7 @@
 	return int64((startedAt + clockOffset) / time.Millisecond)
 }
 
-// encode returns the message as one line, including its end, as a watch sends it.
+// encode returns the message as one line with a final newline, as a watch sends it.
 func (m listMessage) encode() ([]byte, error) {
 	line, err := json.Marshal(m)
 	if err != nil {
--- a/internal/emulator/loopback/faults_test.go
+++ b/internal/emulator/loopback/faults_test.go
@@ -66,7 +66,7 @@
 func TestEarlyClientDisconnectsAreObserved(t *testing.T) {
 	s := newScenario(2 * time.Second)
 	s.Clients.Abandon = 1
-	s.Endpoints.Cores, s.Endpoints.Slots = 1, 2 // so slow that most clients disconnect before their answer
+	s.Endpoints.Cores, s.Endpoints.Slots = 1, 2 // slow endpoints, so that most clients disconnect before their answer
 	for i := range s.Classes {
 		s.Classes[i].Work *= 8
 	}
--- a/internal/emulator/loopback/gateway.go
+++ b/internal/emulator/loopback/gateway.go
@@ -37,7 +37,7 @@
 	gatewayDraining
 )
 
-// gateway is one gateway of the deployment: its process, and how the load balancer in front of the gateways sees it.
+// gateway is one gateway of the deployment: its process, and its state at the load balancer in front of the gateways.
 // Its fields are accessed only in the scheduler.
 type gateway struct {
 	world            *World
@@ -51,7 +51,7 @@
 
 	process           *process // nil while no process runs
 	state             gatewayState
-	inRotation        bool // the load balancer routes new connections to the gateway
+	inRotation        bool // the load balancer in front of the gateways routes new connections to the gateway
 	shutdownRequested bool // the gateway was told to shut down and has not become ready again
 	answersPending    bool // the process has ended, but clients may still be reading its answers
 	restartPending    bool // another process is to start when the current one has ended
@@ -59,10 +59,10 @@
 	startWithoutList  bool // the configuration holds no endpoint list
 	everReady         bool // the gateway has been ready at least once
 
-	known           map[policy.EndpointID]policy.Endpoint // entries of which the gateway counts as notified
+	known           map[policy.EndpointID]policy.Endpoint // latest list entries of which the gateway counts as notified
 	idleConnections []*clientConnection                   // kept connections, the most recently used one last
-	openExchanges   int                                   // requests of clients that have no outcome yet
-	onExchangesDone func()                                // runs when openExchanges falls to 0; nil: nothing runs
+	openExchanges   int                                   // number of client requests without an outcome
+	onExchangesDone func()                                // called when openExchanges falls to 0; may be nil
 }
 
 // newGateway returns a gateway without a process, and starts its agent.
@@ -213,11 +213,11 @@
 	if err != nil {
 		return false
 	}
-	_ = response.Body.Close() // it is not read
+	_ = response.Body.Close() // the body is not needed
 	return response.StatusCode == http.StatusOK
 }
 
-// markReady makes the load balancer route requests to the gateway, if p is its current process.
+// markReady makes the load balancer in front of the gateways route requests to the gateway if p is its current process.
 func (g *gateway) markReady(p *process) {
 	if g.process != p || g.state != gatewayStarting {
 		return
@@ -263,7 +263,7 @@
 	return known && entry.State != policy.StateRemoved && entry.StartedAt == e.server.StartedAt()
 }
 
-// killByFault kills the process, as a crash would end it.
+// killByFault kills the process without a graceful shutdown, as in a crash.
 func (g *gateway) killByFault() {
 	if g.process == nil || g.state == gatewayDown {
 		return
@@ -312,7 +312,7 @@
 		w.logger.Error("a gateway has ended", "gateway", g.index, "log", g.logPath, "err", err)
 	}
 	if crashed && !g.everReady {
-		w.startFailed <- struct{}{} // never blocks: there is room for one item per gateway, which is not restarted
+		w.startFailed <- struct{}{} // never blocks: the channel has room for one item per gateway, and each sends one at most
 	}
 	g.state = gatewayDown
 	if g.shutdownRequested {
@@ -331,7 +331,7 @@
 	})
 }
 
-// observeStopped observes the end of the current process once.
+// observeStopped observes the end of the current process. Only the first call for a process has an effect.
 func (g *gateway) observeStopped(killed bool) {
 	if !g.stopObserved {
 		g.stopObserved = true
@@ -339,8 +339,8 @@
 	}
 }
 
-// scheduleRemoval makes the load balancer stop routing to the gateway after network.front_delay, unless the gateway is
-// ready again by then or has started another process.
+// scheduleRemoval makes the load balancer in front of the gateways stop routing to the gateway after
+// network.front_delay, unless the gateway is ready again by then or has started another process.
 func (g *gateway) scheduleRemoval() {
 	failedProcess := g.process
 	g.world.scheduler.After(g.world.scenario.Network.FrontDelay.AsDuration(), func() {
@@ -350,8 +350,8 @@
 	})
 }
 
-// afterExchanges runs a function once all client requests to the gateway have their outcomes. Clients may read the last
-// answers of a process after it has ended.
+// afterExchanges runs a function once all client requests to the gateway have their outcomes. It is used at the end of
+// a process, because clients may read the last answers of the process after that.
 func (g *gateway) afterExchanges(run func()) {
 	if g.openExchanges == 0 {
 		run()
@@ -365,7 +365,7 @@
 	g.openExchanges--
 	if run := g.onExchangesDone; run != nil && g.openExchanges == 0 {
 		g.onExchangesDone = nil
-		g.world.scheduler.After(0, run) // runs after the outcome has been observed
+		g.world.scheduler.After(0, run) // the function must run after the outcome has been observed
 	}
 }
 
@@ -374,7 +374,8 @@
 	return g.state == gatewayReady || g.state == gatewayDraining
 }
 
-// takesRequests reports whether the load balancer can route requests to the gateway, on new or on kept connections.
+// takesRequests reports whether the load balancer in front of the gateways can route requests to the gateway, on new or
+// on kept connections.
 func (g *gateway) takesRequests() bool {
 	if g.inRotation {
 		return true
--- a/internal/emulator/loopback/harness_test.go
+++ b/internal/emulator/loopback/harness_test.go
@@ -17,7 +17,7 @@
 	"springfield/internal/emulator/model"
 )
 
-// testTimeout limits how long a test waits. It is far longer than any test takes.
+// testTimeout limits how long a test waits. It is far longer than a test takes without a failure.
 const testTimeout = 90 * time.Second
 
 // gatewayProgram is the path of the gateway's program that the tests run.
@@ -46,8 +46,8 @@
 type observationCounts struct {
 	mu         sync.Mutex
 	seen       map[string]int
-	last       time.Duration
-	outOfOrder int // observations whose time is earlier than that of the previous one
+	last       time.Duration // time of the latest observation
+	outOfOrder int           // observations whose time is earlier than that of the previous one
 }
 
 // Observe implements emulator.Observer.
@@ -98,7 +98,7 @@
 }
 
 // newOptions returns the options of a run, and the result that observes it. If the test fails, the logs of the gateways
-// are shown.
+// are written to the test's output.
 func newOptions(t *testing.T, s emulator.Scenario) (Options, *runResult) {
 	t.Helper()
 	o := &runResult{observationCounts: &observationCounts{}, checker: invariant.NewChecker(&s)}
@@ -150,7 +150,7 @@
 func (o *runResult) checkRules(t *testing.T) {
 	t.Helper()
 	if report := o.checker.Finish(o.last); !report.Passed() {
-		t.Errorf("broken rules: %+v", report)
+		t.Errorf("rules were violated: %+v", report)
 	}
 	if o.summary.GatewayCrashes != 0 || o.summary.UnknownRequests != 0 || o.outOfOrder != 0 {
 		t.Errorf("want no crash, no unknown request and 0 observations out of order: %+v, %d", o.summary, o.outOfOrder)
--- a/internal/emulator/loopback/idle.go
+++ b/internal/emulator/loopback/idle.go
@@ -36,7 +36,7 @@
 }
 
 // closeExpiredIdle closes the connections that have been idle for longer than clientIdleTimeout. They come first in
-// idleConnections.
+// idleConnections, which is sorted by the start of the idle time.
 func (g *gateway) closeExpiredIdle(now time.Duration) {
 	for len(g.idleConnections) > 0 && now-g.idleConnections[0].idleSince > clientIdleTimeout {
 		_ = g.idleConnections[0].Close() // the connection is idle, so an error does not matter
--- a/internal/emulator/loopback/log_pipe.go
+++ b/internal/emulator/loopback/log_pipe.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// logPipe copies the log of a process through a pipe into a file. Its reading end can be closed, or stop reading for a
-// while.
+// logPipe copies the log of a process through a pipe into a file. Fault injection can close the reading end of the
+// pipe or suspend reading from it.
 type logPipe struct {
 	reader, writer *os.File
 	file           *os.File
@@ -56,7 +56,7 @@
 		}
 		n, err := p.reader.Read(buffer)
 		if n > 0 {
-			_, _ = p.file.Write(buffer[:n]) // the log is only diagnostic, so the run goes on without it
+			_, _ = p.file.Write(buffer[:n]) // the log is only for diagnosis, so an error does not stop the run
 		}
 		if err != nil {
 			return
@@ -65,7 +65,7 @@
 }
 
 // closeReader closes the reading end of the pipe.
-func (p *logPipe) closeReader() { _ = p.reader.Close() } // fails only if it is closed already
+func (p *logPipe) closeReader() { _ = p.reader.Close() } // an error means that it is closed already
 
 // stall suspends reading from the pipe until resume is called.
 func (p *logPipe) stall() {
@@ -88,7 +88,7 @@
 			break
 		}
 	}
-	_ = syscall.SetNonblock(fd, false) // restores blocking mode; the call before it succeeded
+	_ = syscall.SetNonblock(fd, false) // restores blocking mode; cannot fail, because the call before it succeeded
 }
 
 // resume continues reading from the pipe after stall.
@@ -108,5 +108,5 @@
 	_ = p.writer.Close() // data in the pipe can still be read, so an error loses nothing
 	<-p.copyDone
 	_ = p.reader.Close() // the reading end may be closed already
-	_ = p.file.Close()   // the log is only diagnostic
+	_ = p.file.Close()   // the log is only for diagnosis, so an error does not matter
 }
--- a/internal/emulator/loopback/options.go
+++ b/internal/emulator/loopback/options.go
@@ -30,8 +30,8 @@
 	KillDelay time.Duration
 
 	Directory string            // directory of the gateways' configurations and logs; it must exist
-	Observer  emulator.Observer // receives the observations of the run; nil: none does
-	Logger    *slog.Logger      // nil: slog.Default()
+	Observer  emulator.Observer // receives the observations of the run; may be nil
+	Logger    *slog.Logger      // logger of the run; nil selects slog.Default()
 }
 
 // Summary holds the totals of a run.
@@ -41,7 +41,7 @@
 	FailedDials       int64         // requests of clients for which no connection to a gateway was made
 	UnknownRequests   int64         // attempts that match no request of a client
 	GatewayStarts     int           // gateway processes that were started
-	GatewayCrashes    int           // gateway processes that ended without being told to
+	GatewayCrashes    int           // gateway processes that ended without a request to shut down
 	LoadTime          time.Duration // from the start of the load until the last answer
 	DrainsKilled      int           // gateway processes still running when SIGKILL was due after SIGTERM
 	ReadinessTimeouts int           // gateway processes that did not become ready in time
--- a/internal/emulator/loopback/process.go
+++ b/internal/emulator/loopback/process.go
@@ -13,14 +13,15 @@
 	"springfield/internal/faultinjection"
 )
 
-// configVariable is the environment variable that holds the path of a gateway's configuration. Other variables with
-// variablePrefix are not passed on from this process, because they would take precedence over the configuration.
+// Environment variables of gateways. configVariable names the variable with the path of a gateway's configuration. The
+// other variables of this process whose names start with variablePrefix are not passed on to gateways, because they
+// would take precedence over the configuration.
 const (
 	configVariable = "RELAY_CONFIG"
 	variablePrefix = "RELAY_"
 )
 
-// launcher starts processes from a thread of its own that lives as long as the world. The kernel kills the processes
+// launcher starts processes from a dedicated thread that exists as long as the world. The kernel kills the processes
 // when that thread ends (Pdeathsig), so that they end even if this process is killed.
 type launcher struct{ starts chan func() }
 
@@ -51,7 +52,7 @@
 	log     *logPipe
 	ended   chan struct{} // closed when the process has ended
 
-	mu            sync.Mutex
+	mu            sync.Mutex // guards the fields below
 	running       bool
 	killRequested bool // kill was called, perhaps before the process started
 }
@@ -119,7 +120,7 @@
 	defer p.mu.Unlock()
 	p.killRequested = true
 	if p.running {
-		_ = killGroup(p.command.Process.Pid) // fails only if the process has just ended
+		_ = killGroup(p.command.Process.Pid) // an error means that the process has just ended
 	}
 }
 
--- a/internal/emulator/loopback/process_faults.go
+++ b/internal/emulator/loopback/process_faults.go
@@ -17,7 +17,7 @@
 		if p == nil || p.signal(syscall.SIGSTOP) != nil {
 			return
 		}
-		w.scheduler.After(length, func() { _ = p.signal(syscall.SIGCONT) }) // fails only if the process has ended
+		w.scheduler.After(length, func() { _ = p.signal(syscall.SIGCONT) }) // an error means that the process has ended
 	})
 }
 
@@ -83,11 +83,12 @@
 	})
 }
 
-// SlowLists makes agents write complete lists slowly for the time length. Writing each list takes the time spread.
+// SlowLists makes agents write complete endpoint lists slowly for the time length. The bytes of each list are sent over
+// the time spread.
 func (w *World) SlowLists(spread, length time.Duration) {
 	w.scheduler.Do(func() {
 		w.slowListDuration = spread
-		for _, g := range w.gateways { // a gateway does not count as notified of a list that it cannot have read yet
+		for _, g := range w.gateways { // gateways must not count as notified of lists that they cannot have read yet
 			g.agent.deferUntil = max(g.agent.deferUntil, w.scheduler.Now()+length+spread+silenceNotificationDelay)
 		}
 		w.scheduler.After(length, func() { w.slowListDuration = 0 })
--- a/internal/emulator/loopback/request.go
+++ b/internal/emulator/loopback/request.go
@@ -14,14 +14,14 @@
 const (
 	requestIDHeader = "Req-Id"
 
-	// requestRetention is how long a request is kept after its final answer, so that late attempts are recognized.
+	// requestRetention is how long a request is kept after its final outcome, so that late attempts are recognized.
 	requestRetention = 30 * time.Second
 )
 
 // request is one try of a client: a first request or a retry. Its fields are accessed only in the scheduler, except the
 // message, which does not change.
 type request struct {
-	arrival            model.Arrival // the try; Gateway is where the load balancer has routed it
+	arrival            model.Arrival // the try; its Gateway is the one that the load balancer selected
 	message            message
 	inFlight           []*attempt
 	attempts           int
@@ -32,7 +32,7 @@
 	resent             bool     // the request was sent once more because the gateway had not read it
 }
 
-// message is a request in HTTP without its Req-Deadline header. Gateways pass method, path and body on unchanged.
+// message is an HTTP request without its Req-Deadline header. Gateways pass method, path and body on unchanged.
 type message struct {
 	method, path, body string
 	header             []string // complete header lines without CRLF
@@ -56,7 +56,7 @@
 	case settings.RepeatIdempotent:
 		m.method = http.MethodGet
 	case settings.RepeatDeduplicated:
-		// A first try and its retries are the same operation, so they share a key.
+		// A first try and its retries are the same operation, so they have the same key.
 		m.header = append(m.header, fmt.Sprintf("Idempotency-Key: %016x", uint64(arrival.Original)))
 	}
 	if m.method == http.MethodPost {
@@ -65,7 +65,8 @@
 	return m
 }
 
-// encode returns the bytes that a client sends. wait is how long the client waits for the answer, for Req-Deadline.
+// encode returns the bytes that a client sends. wait is how long the client waits for the answer, which it states in
+// the Req-Deadline header.
 func (m *message) encode(wait time.Duration) []byte {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: origin.svc\r\n", m.method, m.path)
--- a/internal/emulator/loopback/response.go
+++ b/internal/emulator/loopback/response.go
@@ -23,7 +23,7 @@
 	closesConnection bool      // the endpoint closes the connection after the response
 	truncated        bool      // only the first half of the body is sent
 	unsolicited      *response // a second response that no request has asked for; nil: none
-	fault            byteFault // fault in the transmission of the response
+	fault            byteFault // fault in the transmission of the response; the zero value is no fault
 }
 
 // encode returns the bytes of the response as they are sent without a byteFault.
@@ -109,6 +109,7 @@
 	return lines
 }
 
+// percent is the number of percent in a share of 1.
 const percent = 100
 
 // formatLoadReport formats a load report with the columns that model.Settings names.
--- a/internal/emulator/loopback/run.go
+++ b/internal/emulator/loopback/run.go
@@ -12,7 +12,7 @@
 	// loadDelay is the time from the readiness of all gateways in Drive until the load begins.
 	loadDelay = 200 * time.Millisecond
 
-	// outcomeTimeout is how long after the last deadline a run may go on until all clients have their outcome.
+	// outcomeTimeout is how long after the last deadline a run waits for clients without an outcome.
 	outcomeTimeout = 10 * time.Second
 )
 
@@ -71,7 +71,7 @@
 	w.scheduleNextArrival()
 }
 
-// scheduleNextArrival schedules the next first try of a client. When that try is sent, it schedules the one after it.
+// scheduleNextArrival schedules the next first try of a client. Each first try that is sent schedules the next one.
 func (w *World) scheduleNextArrival() {
 	arrival, ok := w.workload.Next()
 	if !ok {
@@ -86,7 +86,7 @@
 	})
 }
 
-// recordFinalOutcome records that a client has the outcome of a request and does not retry it.
+// recordFinalOutcome records that a client has the outcome of a request and will not retry it.
 func (w *World) recordFinalOutcome() {
 	w.pendingRequests--
 	w.checkRunFinished()
--- a/internal/emulator/loopback/upstream_connection.go
+++ b/internal/emulator/loopback/upstream_connection.go
@@ -10,13 +10,13 @@
 
 const (
 	maxBodyBytes         = 64 << 10
-	requestReadTimeout   = 10 * time.Second // for the rest of a request after its first byte
+	requestReadTimeout   = 10 * time.Second // limit for reading a request after its first byte
 	responseWriteTimeout = 5 * time.Second
 	defaultIdleTimeout   = time.Minute
 )
 
-// upstreamConnection is a connection of a gateway to an endpoint. Its goroutine reads requests and notices when the
-// gateway closes the connection to give an attempt up. Each response is written by a goroutine of its own, which the
+// upstreamConnection is a connection of a gateway to an endpoint. Its goroutine reads requests and detects that the
+// gateway closes the connection to give an attempt up. Each response is written by a separate goroutine, which the
 // scheduler starts when the response is due.
 type upstreamConnection struct {
 	endpoint        *endpoint
@@ -28,9 +28,9 @@
 	admitted        bool     // the connection has a place in the endpoint's connection table
 	used            bool     // a request has arrived on the connection
 	gateway         int      // gateway that sent the latest request on the connection
-	lostByPartition bool     // a request or response was lost on the connection in a partition
+	lostByPartition bool     // a partition has lost a request or a response on the connection
 	resetLocally    bool     // the endpoint's machine has reset the connection
-	current         *attempt // attempt in flight; nil: none
+	current         *attempt // attempt in flight, or nil
 }
 
 // receivedRequest is a complete request as read from a connection.
@@ -60,7 +60,7 @@
 		if err != nil {
 			return
 		}
-		_ = c.conn.SetReadDeadline(time.Time{}) // fails only on a closed connection, where the next read fails too
+		_ = c.conn.SetReadDeadline(time.Time{}) // after an error the connection is closed, and the next read fails too
 		answered = make(chan struct{})
 		c.endpoint.world.scheduler.Do(func() { c.handleRequest(received, answered) })
 	}
@@ -107,13 +107,13 @@
 // writeResponse writes a response in a new goroutine. It closes answered if the connection stays open.
 func (c *upstreamConnection) writeResponse(r *response, answered chan<- struct{}) {
 	c.endpoint.world.goroutines.Go(func() {
-		_ = c.conn.SetWriteDeadline(time.Now().Add(responseWriteTimeout)) // on a closed connection the write fails too
+		_ = c.conn.SetWriteDeadline(time.Now().Add(responseWriteTimeout)) // after an error the write fails too
 		err := c.writeWithFault(r.encode(), r.fault)
 		if err == nil && r.unsolicited != nil && c.endpoint.world.sleep(unsolicitedDelay) {
 			_, err = c.conn.Write(r.unsolicited.encode())
 		}
 		if err != nil || r.closesConnection {
-			_ = c.conn.Close() // ends the read in serve; the connection may be closed already
+			_ = c.conn.Close() // the close ends the read in serve; the connection may be closed already
 			return
 		}
 		c.setReadDeadline(c.idleTimeout())
@@ -152,5 +152,5 @@
 }
 
 func (c *upstreamConnection) setReadDeadline(timeout time.Duration) {
-	_ = c.conn.SetReadDeadline(time.Now().Add(timeout)) // fails only on a closed connection, where reads fail too
+	_ = c.conn.SetReadDeadline(time.Now().Add(timeout)) // after an error the connection is closed, and reads fail too
 }
--- a/internal/emulator/loopback/watch.go
+++ b/internal/emulator/loopback/watch.go
@@ -13,7 +13,7 @@
 const (
 	instancesPath     = "/registry/instances"
 	keepAliveInterval = 2 * time.Second
-	watchBacklog      = 256 // capacity of a watch's queue of unwritten updates; the watch ends when it overflows
+	watchBacklog      = 256 // capacity of a watch's queue of unwritten updates; the watch ends if the queue overflows
 )
 
 // update is an endpoint list to be written, or the failure of a call.
@@ -34,7 +34,7 @@
 	overflowed bool // the watch ended because its queue was full
 }
 
-// deliver queues an update. It is a model.Deliver.
+// deliver queues an update. It implements model.Deliver.
 func (w *watch) deliver(kind policy.UpdateKind, version uint64, list []policy.Endpoint) {
 	if w.silent || w.overflowed {
 		return
@@ -117,7 +117,7 @@
 		if !isWatch || after != a.version {
 			w.deliver(policy.UpdateFull, a.version, a.list())
 		}
-		if a.world.slowListDuration == 0 { // a list that is written slowly does not count as read yet
+		if a.world.slowListDuration == 0 { // a list that is written slowly cannot have been read yet
 			a.notifyDeferred()
 		}
 	}
@@ -192,10 +192,11 @@
 	return w.writeLine(response, line, list.full)
 }
 
-// slowListParts is the number of parts in which a complete list is written while SlowLists is in force.
+// slowListParts is the number of parts in which a complete list is written while the fault SlowLists is active.
 const slowListParts = 10
 
-// writeLine writes the line of a list. It spreads a complete list over the time that SlowLists has set.
+// writeLine writes the line of a list. While the fault SlowLists is active, it writes a complete list in parts over
+// slowListDuration.
 func (w *watch) writeLine(response http.ResponseWriter, line []byte, full bool) bool {
 	world := w.agent.world
 	var spread time.Duration
--- a/internal/emulator/loopback/world.go
+++ b/internal/emulator/loopback/world.go
@@ -40,8 +40,8 @@
 	requests         map[emulator.RequestKey]*request
 	discoveryDown    bool
 	byteFaultShare   float64       // share of the responses that get a byteFault
-	slowListDuration time.Duration // how long agents take to write a complete list; 0: they write it at once
-	zonePartitions   []int         // by zone: active partitions that separate the zone from the other zones
+	slowListDuration time.Duration // how long agents take to write a complete list; 0 means without delay
+	zonePartitions   []int         // number of active partitions that separate each zone from the others
 	resetShare       float64       // share of the attempts whose connection is reset
 	spoiltShare      float64       // share of the responses that are truncated or followed by an unsolicited one
 	lastObserved     time.Duration // time of the latest observation, so that no later one has an earlier time
@@ -197,7 +197,7 @@
 
 // Close ends the gateway processes and closes all sockets. It returns once no goroutine of the world runs any more.
 func (w *World) Close() {
-	w.cancel()         // also kills the processes
+	w.cancel()         // the end of the context also kills the processes
 	w.scheduler.Stop() // no scheduled function runs after this, so the fields can be read here
 	for _, g := range w.gateways {
 		g.agent.close()
--- a/internal/emulator/loopback/world_test.go
+++ b/internal/emulator/loopback/world_test.go
@@ -30,7 +30,7 @@
 	var pids []int
 	w.scheduler.Do(func() {
 		for _, g := range w.gateways {
-			g.process.mu.Lock() // the process runs, so its ID is known
+			g.process.mu.Lock() // the process is running, so its ID is known
 			pids = append(pids, g.process.command.Process.Pid)
 			g.process.mu.Unlock()
 		}
@@ -133,10 +133,10 @@
 		if got.StatusCode != http.StatusBadRequest {
 			t.Errorf("the endpoint answered %s", got.Status)
 		}
-		_ = got.Body.Close()                           // the body is not needed
-		_, _ = io.WriteString(response, "I made this") // fails if the client has disconnected
+		_ = got.Body.Close()                               // the body is not needed
+		_, _ = io.WriteString(response, "a forged answer") // an error means that the client has disconnected
 	})}
-	go func() { _ = server.Serve(listener) }() // returns when the server is closed
+	go func() { _ = server.Serve(listener) }() // Serve returns an error when the server is closed
 	defer func() { _ = server.Close() }()
 	if o.summary, err = w.Drive(ctx); err != nil {
 		t.Fatal(err)
@@ -146,7 +146,7 @@
 		t.Errorf("want only answers that are not genuine, and as many unknown requests: %+v %v", o.summary, o.seen)
 	}
 	if o.checker.Finish(o.last).Passed() {
-		t.Error("the checker found no broken rule")
+		t.Error("the checker found no violation")
 	}
 }
 
