--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline provides simple deciders to compare the policy with, behind the same interface. They share the code
-// that keeps the rules on retries, drains, slow start and final answers, and differ in admission and in the choice of
-// an endpoint.
+// Package baseline provides simple deciders to compare the policy with, behind the same interface. All of them share
+// the code that keeps the rules on retries, drains, slow start and final answers. They differ in admission and in the
+// choice of an endpoint.
 package baseline
 
 import (
@@ -20,6 +20,7 @@
 	newDecider emulator.NewDecider
 }
 
+// baselines lists all baselines in the order of Names.
 var baselines = []namedDecider{
 	{"admit-all", AdmitAll},
 	{"even-split", EvenSplit},
@@ -71,8 +72,8 @@
 	return newOracle(cfg, actions, truth, lateOracleAge)
 }
 
-// InstantOracle returns a decider that sees the present true quotas and backlogs. No real gateway can reach the service
-// that it provides.
+// InstantOracle returns a decider that sees the present true quotas and backlogs. It is an upper bound
+// that no real gateway can reach.
 func InstantOracle(cfg policy.Config, actions policy.Actions, truth emulator.Truth) emulator.Decider {
 	return newOracle(cfg, actions, truth, 0)
 }
@@ -89,8 +90,8 @@
 	}
 	g.choose = func(_ *request, candidates []*endpoint) *endpoint {
 		if age > 0 {
-			// All gateways see the same outdated state. If each of them picked the best endpoint, they would overload it
-			// together.
+			// All gateways see the same outdated state. If each of them picked the best endpoint, their combined
+			// load would overload it.
 			candidates = g.sampleTwo(candidates)
 		}
 		return leastBacklog(candidates, truth, age)
--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// The customer has two gateways. Each of them must admit half of the burst of 20 units and half of the rate of 10 units
-// a second.
+// EvenSplit must admit a gateway's equal part of the quota. The customer has two gateways, so each of them admits half
+// of the burst of 20 units and half of the rate of 10 units a second.
 func TestEvenSplitGrantsOneGatewaysPartOfTheQuota(t *testing.T) {
 	gateway := startGateway(EvenSplit, testConfig(), 4)
 	for id := policy.RequestID(1); id <= 12; id++ {
@@ -50,8 +50,8 @@
 	gateway.expect(t, "for other customers", 45, 5, 0)
 }
 
-// A customer with many gateways must be able to send its largest request at one of them, although it exceeds the
-// gateway's part of the burst.
+// EvenSplit must admit the largest request of a customer with many gateways, although the request exceeds one gateway's
+// part of the burst.
 func TestEvenSplitBucketHoldsTheLargestRequest(t *testing.T) {
 	gateway := startGateway(EvenSplit, testConfig(), 4)
 	submit := func(id policy.RequestID) {
@@ -66,7 +66,7 @@
 	gateway.expect(t, "later", 2, 1, 0)
 }
 
-// Of two endpoints the less loaded one is chosen unless both draws miss it, so that the load follows the weights.
+// EvenSplit must choose the less loaded of the endpoints that it has drawn, so that the load follows the weights.
 func TestEvenSplitPrefersTheLessLoaded(t *testing.T) {
 	for _, test := range []struct {
 		weights [2]float64
--- a/internal/baseline/decider.go
+++ b/internal/baseline/decider.go
@@ -13,37 +13,39 @@
 // maxAttempts is the upper bound of the attempts of a request. The configuration may set a lower one.
 const maxAttempts = 3
 
-// baseDecider implements what all baselines share. It keeps the rules, and delegates admission and the choice of an
-// endpoint to two functions.
+// baseDecider implements emulator.Decider for all baselines. It keeps the rules and delegates admission and the choice
+// of an endpoint to two functions.
 type baseDecider struct {
 	cfg       policy.Config
 	actions   policy.Actions
 	random    *rand.Rand
 	requests  map[policy.RequestID]*request
 	endpoints map[policy.EndpointID]*endpoint
-	list      []*endpoint // sorted by ID
+	list      []*endpoint // the known endpoints, sorted by ID
 
-	// admit reports whether a new request is forwarded at all.
+	// admit reports whether a new request may be forwarded.
 	admit func(now time.Duration, r *request) bool
 	// choose picks one of the endpoints that the rules allow. There is at least one candidate.
 	choose func(r *request, candidates []*endpoint) *endpoint
 }
 
+// request is an open request with the state of its attempts.
 type request struct {
 	policy.Request
 	class              *policy.Class
 	deadline           time.Duration
 	attempts           int
-	inFlight           *endpoint // endpoint of the attempt in flight; nil if there is none
-	sentAt             time.Duration
+	inFlight           *endpoint     // endpoint of the attempt in flight; nil if there is none
+	sentAt             time.Duration // when the latest attempt was sent
 	possiblyExecutedOn *endpoint     // endpoint of the first attempt that may have been executed; nil if there is none
 	possiblyExecutedAt time.Duration // when the first attempt that may have been executed was sent
 	disconnected       bool          // the client has disconnected, and the attempt is still in flight
 }
 
+// endpoint is an endpoint of the list with the load that this gateway puts on it.
 type endpoint struct {
 	policy.Endpoint
-	inFlight int // attempts of this gateway
+	inFlight int // number of attempts of this gateway in flight
 }
 
 func newBaseDecider(cfg policy.Config, actions policy.Actions) *baseDecider {
@@ -131,7 +133,8 @@
 	return allowed
 }
 
-// capacityShare returns the share of its full capacity that an endpoint has at least. It is below 1 during slow start.
+// capacityShare returns a lower bound of the share of its full capacity that an endpoint has. It is below 1 during slow
+// start.
 func (g *baseDecider) capacityShare(now time.Duration, ep *endpoint) float64 {
 	age := now - ep.StartedAt
 	if ep.StartedAt <= 0 || g.cfg.WarmUpDuration <= 0 || age >= g.cfg.WarmUpDuration {
@@ -210,8 +213,8 @@
 	}
 }
 
-// BeginShutdown implements emulator.Decider. The emulator ends the attempts in flight by answerBy, and the new
-// deadlines do so for later retries.
+// BeginShutdown implements emulator.Decider. The emulator ends the attempts in flight by answerBy, and the
+// shortened deadlines limit later retries.
 func (g *baseDecider) BeginShutdown(_, answerBy time.Duration) {
 	for _, r := range g.requests {
 		r.deadline = min(r.deadline, answerBy)
--- a/internal/baseline/decider_test.go
+++ b/internal/baseline/decider_test.go
@@ -8,7 +8,7 @@
 	"springfield/policy"
 )
 
-// A misspelled name in an experiment file must not select a baseline.
+// ByName must not find a baseline for an unknown name, such as a misspelled one in an experiment file.
 func TestUnknownNameIsNotFound(t *testing.T) {
 	if newDecider, ok := ByName("springfield"); ok || newDecider != nil {
 		t.Error("a baseline was found for an unknown name")
@@ -61,7 +61,7 @@
 				first := gateway.lastEndpoint()
 				gateway.finish(id, policy.StatusReset)
 				if second := gateway.lastEndpoint(); group(first) != group(second) {
-					t.Errorf("scope %d: repeated at endpoint %d after %d", scope, second, first)
+					t.Errorf("scope %d: the retry went to endpoint %d after an attempt at %d", scope, second, first)
 				}
 				gateway.finish(id, policy.StatusOK)
 			}
@@ -110,7 +110,7 @@
 			reached := map[policy.EndpointID]bool{}
 			for range 60 {
 				id++
-				gateway.submit(id, idempotentClass, unlimitedPlan, 1) // remains in flight
+				gateway.submit(id, idempotentClass, unlimitedPlan, 1) // the request remains in flight
 				reached[gateway.lastEndpoint()] = true
 			}
 			if len(reached) != len(allowed) {
@@ -157,7 +157,7 @@
 	}
 }
 
-// An endpoint whose warm-up has ended must not be left out at random.
+// An endpoint whose warm-up has ended must be a candidate for every request.
 func TestWarmEndpointsAreAlwaysCandidates(t *testing.T) {
 	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
 		gateway := startGateway(newDecider, testConfig(), 1)
@@ -257,7 +257,7 @@
 
 func (r *fakeGateway) base() *baseDecider { return r.decider.(*baseDecider) }
 
-// With polled discovery, the watch must be opened again after a failed call.
+// With polled discovery, the decider must request the endpoints again some time after a failed call.
 func TestPolledEndpointsAreWatched(t *testing.T) {
 	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
 		cfg := testConfig()
--- a/internal/baseline/harness_test.go
+++ b/internal/baseline/harness_test.go
@@ -101,7 +101,7 @@
 	return policy.Endpoint{ID: policy.EndpointID(id), Weight: 1, State: policy.StateReady, Zone: id % 2, Cell: id % 3}
 }
 
-// forEachBaseline runs a test for each baseline.
+// forEachBaseline runs a test as a subtest for each baseline.
 func forEachBaseline(t *testing.T, test func(t *testing.T, newDecider emulator.NewDecider)) {
 	t.Helper()
 	for _, name := range Names() {
--- a/internal/emulator/virtual/attempt.go
+++ b/internal/emulator/virtual/attempt.go
@@ -16,12 +16,12 @@
 	forwardedAt time.Duration // when the decider forwarded the request
 
 	connection    *connection // nil until the endpoint has accepted the connection
-	newConnection bool
-	activeIndex   int // index in endpoint.active, or notActive
+	newConnection bool        // the attempt opens its own connection
+	activeIndex   int         // index in endpoint.active; notActive without a connection
 
 	sent        bool // the gateway has sent the first byte
 	received    bool // the endpoint has received the complete attempt
-	executed    bool // the endpoint has executed the attempt, will execute it, or may do so
+	executed    bool // the endpoint has executed the attempt, or may still execute it
 	endObserved bool // the end of the attempt has been observed
 	ended       bool // the gateway no longer waits for the attempt
 }
--- a/internal/emulator/virtual/bench_test.go
+++ b/internal/emulator/virtual/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkFleet emulates 30 s of virtual time for fleets of increasing size. The measured time includes the setup of
-// each run.
+// BenchmarkFleet emulates 30 s of virtual time for fleets of increasing size. The benchmark's time includes the setup
+// of each run.
 func BenchmarkFleet(b *testing.B) {
 	for _, size := range []struct{ gateways, endpoints int }{{10, 6}, {100, 60}, {1000, 600}} {
 		b.Run(fmt.Sprintf("gateways=%d", size.gateways), func(b *testing.B) {
--- a/internal/emulator/virtual/connection.go
+++ b/internal/emulator/virtual/connection.go
@@ -7,7 +7,8 @@
 	"springfield/policy"
 )
 
-// reuseDelay is how long a gateway does not reuse a connection after a response, as in package internal/upstream.
+// reuseDelay is the time after a response before which a gateway does not reuse the connection, as in package
+// internal/upstream.
 const reuseDelay = 20 * time.Millisecond
 
 // connection is a connection from a gateway to a process of an endpoint.
--- a/internal/emulator/virtual/decider.go
+++ b/internal/emulator/virtual/decider.go
@@ -5,7 +5,7 @@
 	"springfield/policy"
 )
 
-// PolicyDecider creates the policy engine that real gateways run. It is an emulator.NewDecider.
+// PolicyDecider creates the policy engine that real gateways run. It implements emulator.NewDecider.
 func PolicyDecider(cfg policy.Config, actions policy.Actions, _ emulator.Truth) emulator.Decider {
 	return policy.New(cfg, actions)
 }
--- a/internal/emulator/virtual/endpoint.go
+++ b/internal/emulator/virtual/endpoint.go
@@ -8,7 +8,7 @@
 	"springfield/policy"
 )
 
-// endpoint is an upstream server: the model of its machine with its zone, connections and partitions.
+// endpoint is an upstream server: the model of its machine, with its zone, its connections and its partitions.
 type endpoint struct {
 	id         policy.EndpointID
 	zone, cell int
@@ -20,7 +20,7 @@
 	partitions  int        // number of active partitions that isolate the endpoint from all gateways
 }
 
-// addEndpoint starts a new endpoint. If startedAt is 0, the endpoint has been running for long and does not warm up.
+// addEndpoint starts a new endpoint. If startedAt is 0, the endpoint started long ago and does not warm up.
 func (w *world) addEndpoint(zone, cell int, startedAt time.Duration) {
 	e := &endpoint{id: policy.EndpointID(len(w.endpoints) + 1), zone: zone, cell: cell}
 	e.server = model.NewScenarioServer(w.scenario, e.id, zone, cell, startedAt, w.scheduler, w.serverRandom)
--- a/internal/emulator/virtual/faults.go
+++ b/internal/emulator/virtual/faults.go
@@ -100,7 +100,7 @@
 // SetDiscoveryDown implements model.FaultTarget.
 func (t faultTarget) SetDiscoveryDown(down bool) { t.w.discovery.SetDown(down) }
 
-// SilenceWatches implements model.FaultTarget. The gateways detect the silence by the missing keep-alive lines, and
+// SilenceWatches implements model.FaultTarget. The gateways detect the silence by the missing keep-alive lines and
 // reopen their watches after watchTimeout.
 func (t faultTarget) SilenceWatches() {
 	t.w.discovery.Silence()
--- a/internal/emulator/virtual/gateway.go
+++ b/internal/emulator/virtual/gateway.go
@@ -23,8 +23,8 @@
 	// their clients.
 	exitMargin = 100 * time.Millisecond
 
-	// loadBalancerDrainDelay is how long the load balancer in front of the gateways sends new requests to a gateway after the
-	// start of its shutdown.
+	// loadBalancerDrainDelay is how long the load balancer in front of the gateways sends new requests to a gateway after
+	// the start of its shutdown.
 	loadBalancerDrainDelay = 300 * time.Millisecond
 
 	// drainPollInterval is the time between two checks whether a draining gateway has answered its last request.
@@ -46,7 +46,7 @@
 	incarnation int           // number of the process, increased at each start
 	running     bool          // the process has started and not ended
 	inRotation  bool          // the load balancer in front of the gateways sends new requests to this one
-	answerBy    time.Duration // when all answers are due in a shutdown
+	answerBy    time.Duration // when all answers are due during a shutdown
 	draining    bool
 	requests    map[policy.RequestID]*request // open requests
 	lastID      policy.RequestID
@@ -104,7 +104,7 @@
 	})
 }
 
-// closeRequest removes a request that needs no further answer.
+// closeRequest removes a request that has its final answer or whose client has disconnected.
 func (g *gateway) closeRequest(r *request) {
 	r.open = false
 	delete(g.requests, r.id)
@@ -173,7 +173,7 @@
 		}
 	}
 	for _, e := range w.endpoints {
-		for _, a := range slices.Clone(e.active) { // These attempts are open although their clients have disconnected.
+		for _, a := range slices.Clone(e.active) { // the remaining attempts are those of disconnected clients
 			if a.request.gateway == g && !a.ended {
 				a.abandon(policy.StatusCancelled)
 			}
--- a/internal/emulator/virtual/request.go
+++ b/internal/emulator/virtual/request.go
@@ -22,7 +22,7 @@
 	deadline     time.Duration // when the final answer is due; a shutdown may bring it forward
 	attempts     int           // number of attempts so far
 	inFlight     []*attempt
-	open         bool // the final answer is still due
+	open         bool // the gateway has not given the final answer, and the client is connected
 	unitsSettled bool // the charged units have been corrected to the true units
 	unitsCharged bool // the units have been charged to the quota
 	clientDone   bool // the client has its answer or no longer waits for one
--- a/internal/emulator/virtual/run.go
+++ b/internal/emulator/virtual/run.go
@@ -25,7 +25,7 @@
 type Options struct {
 	Scenario   emulator.Scenario
 	Seed       uint64
-	NewDecider emulator.NewDecider // creates the decider of each gateway; nil selects PolicyDecider
+	NewDecider emulator.NewDecider // constructor of the decider of each gateway; nil selects PolicyDecider
 	Observer   emulator.Observer   // receives the observations of the run; may be nil
 }
 
@@ -62,8 +62,8 @@
 	}, err
 }
 
-// runUntilFinished runs the scheduler until the load has ended and no request is pending, at most until lateAnswerPeriod after the
-// last deadline.
+// runUntilFinished runs the scheduler until the load has ended and no request is pending, at most until
+// lateAnswerPeriod after the last deadline.
 func (w *world) runUntilFinished(ctx context.Context) error {
 	loadEnd := StartTime + w.scenario.Length.AsDuration()
 	latestEnd := loadEnd + lateAnswerPeriod
--- a/internal/emulator/virtual/run_test.go
+++ b/internal/emulator/virtual/run_test.go
@@ -68,13 +68,13 @@
 		if !report.Passed() {
 			t.Errorf("seed %d: rules were violated: %+v", seed, report)
 		}
-		if len(counter) < 12 { // all types but EndpointOverloaded
+		if len(counter) < 12 { // 12 types are all but EndpointOverloaded
 			t.Errorf("seed %d: got only these types of observations: %v", seed, counter)
 		}
 	}
 }
 
-// A request that is lost in the emulator would be counted neither as answered nor as disconnected.
+// The emulator must not lose a request: each one must end with an answer or with a disconnected client.
 func TestEveryRequestIsAnswered(t *testing.T) {
 	counter := typeCounter{}
 	scenario := model.DefaultScenario()
@@ -87,6 +87,7 @@
 	}
 }
 
+// A run must not continue after its context has ended.
 func TestRunStopsWhenContextIsCancelled(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -95,6 +96,7 @@
 	}
 }
 
+// A run must not start with an invalid scenario.
 func TestInvalidScenarioIsRejected(t *testing.T) {
 	var problem *model.ScenarioError
 	if _, err := Run(t.Context(), Options{}); !errors.As(err, &problem) {
--- a/internal/emulator/virtual/watch.go
+++ b/internal/emulator/virtual/watch.go
@@ -60,8 +60,8 @@
 }
 
 // applyEntry applies a list entry to the gateway's view of the endpoint. An endpoint that appears for the first time
-// counts as changed only if it is not ready or has a start time, because the gateway assumes of unknown endpoints that
-// they have been ready for long.
+// counts as changed only if it is not ready or has a start time, because the gateway assumes that unknown
+// endpoints have been ready for a long time.
 func (g *gateway) applyEntry(entry *policy.Endpoint) {
 	view := g.view(entry.ID)
 	changed := view.state != entry.State || view.startedAt != entry.StartedAt
--- a/internal/emulator/virtual/world.go
+++ b/internal/emulator/virtual/world.go
@@ -30,12 +30,12 @@
 	gatewayRandom *rand.Rand
 	attemptRandom *rand.Rand
 
-	partitionsByZone []int // number of active partitions that isolate each zone
-	resetShare       float64
-	spoiltShare      float64
+	partitionsByZone []int   // number of active partitions that separate each zone from the others
+	resetShare       float64 // share of the attempts whose connection is reset
+	spoiltShare      float64 // share of the successful responses that the gateway cannot parse
 
-	// pendingRequests counts the requests that clients have scheduled or sent and that have not ended. A retry continues
-	// its request.
+	// pendingRequests is the number of client requests, scheduled or sent, without a final outcome. A retry belongs to
+	// the request of its first try.
 	pendingRequests int
 	requests        int64 // tries that arrived at gateways, client retries included
 	attempts        int64 // attempts sent to endpoints
@@ -85,8 +85,7 @@
 	w.scheduleNextArrival()
 }
 
-// scheduleNextArrival schedules the first try of the next client request. Its submission schedules the request after
-// it.
+// scheduleNextArrival schedules the next first try of a client. Each first try that is sent schedules the next one.
 func (w *world) scheduleNextArrival() {
 	arrival, ok := w.workload.Next()
 	if !ok {
--- a/internal/emulator/virtual/world_test.go
+++ b/internal/emulator/virtual/world_test.go
@@ -39,7 +39,7 @@
 	*world
 	decider      *firstEndpointDecider // decider of gateway 0
 	observations []emulator.Observation
-	requests     int // submitted by submitAt
+	requests     int // number of requests submitted by submitAt
 }
 
 // Observe implements emulator.Observer.
@@ -86,7 +86,7 @@
 	w.scheduler.After(after, func() { w.receiveRequest(arrival) })
 }
 
-// after runs the world until a time after the start.
+// after runs the world until the given time after the start.
 func (w *testWorld) after(elapsed time.Duration) { w.scheduler.RunUntil(StartTime + elapsed) }
 
 // observed returns the observations of one type.
@@ -108,7 +108,8 @@
 	return statuses
 }
 
-// A connection that is reused after its idle timeout, or not reused before it, would falsify the cost of handshakes.
+// A connection must be reused before its idle timeout but not after it. Otherwise runs would contain a wrong number of
+// handshakes.
 func TestIdleConnectionIsReusedUntilItsTimeout(t *testing.T) {
 	w := newTestWorld(nil, nil)
 	for _, after := range []time.Duration{0, time.Second, 40 * time.Second} {
@@ -171,7 +172,7 @@
 	}
 }
 
-// The endpoint starts to drain while a connection to it is being opened. The attempt must not be sent any more.
+// If an endpoint starts to drain while a connection to it is being opened, the attempt must not be sent.
 func TestNothingIsSentToAnEndpointThatDrainsDuringTheHandshake(t *testing.T) {
 	w := newTestWorld(nil, func(s *emulator.Scenario) { s.Endpoints.HandshakeDelay = emulator.Duration(time.Second) })
 	w.submitAt(0, nil)
@@ -187,7 +188,7 @@
 	}
 }
 
-// The client disconnects while a connection to the endpoint is being opened. The attempt must not be sent any more.
+// If a client disconnects while a connection to the endpoint is being opened, the attempt must not be sent.
 func TestNothingIsSentForAClientThatHasLeft(t *testing.T) {
 	w := newTestWorld(nil, func(s *emulator.Scenario) { s.Endpoints.HandshakeDelay = emulator.Duration(time.Second) })
 	w.submitAt(0, func(arrival *model.Arrival) { arrival.AbandonAt = StartTime + time.Second/2 })
@@ -314,7 +315,7 @@
 	}
 }
 
-// duplicatingActions is an injected fault: each attempt is made twice.
+// duplicatingActions injects a fault: it forwards each attempt twice.
 type duplicatingActions struct{ policy.Actions }
 
 func (d duplicatingActions) Forward(id policy.RequestID, endpoint policy.EndpointID, until time.Duration) {
@@ -322,7 +323,7 @@
 	d.Actions.Forward(id, endpoint, until)
 }
 
-// A checker that does not detect two attempts of one request at the same time could not verify the policy.
+// The checker must detect two concurrent attempts of one request.
 func TestCheckerDetectsDuplicatedAttempts(t *testing.T) {
 	scenario := model.DefaultScenario()
 	checker := invariant.NewChecker(&scenario)
