--- a/internal/soak/faulty_clients.go
+++ b/internal/soak/faulty_clients.go
@@ -18,19 +18,20 @@
 
 	clientDialTimeout = time.Second
 
-	// stalledClientTimeout is the time within which a gateway must close the connection of a client that stops in the
-	// middle of a request. The requirement is 3 s; the rest is a margin for a busy machine.
+	// stalledClientTimeout is how long a client that stops in the middle of a request waits until the gateway closes its
+	// connection. A gateway must close the connection of such a client within 3 s; the timeout is longer because the
+	// machine may be busy.
 	stalledClientTimeout = 4500 * time.Millisecond
 
-	floodConnections   = 700 // exceeds a gateway's budget of file descriptors for clients
-	pipelinedRequests  = 20
+	floodConnections   = 700 // more connections than a gateway has file descriptors for clients
+	pipelinedRequests  = 20  // number of requests that a pipelining client sends at once
 	pipeliningTimeout  = 8 * time.Second
-	garbageBytes       = 64 << 10
+	garbageBytes       = 64 << 10 // number of bytes that sendGarbage sends after a request
 	pipeliningInterval = 100 * time.Millisecond
-	stalledClientCount = 6
+	stalledClientCount = 6 // number of stalled clients of each affected gateway
 )
 
-// partialRequests are what stalled clients send of a request that follows a complete one.
+// partialRequests holds the parts of a request that stalled clients send after a complete request.
 var partialRequests = []string{"G", "GET", "\r\n", "GET /health/ready HTTP/1.1\r\nHo"}
 
 // faultyClients runs misbehaving clients and counts the failures of gateways that they observe.
@@ -44,7 +45,8 @@
 	return net.DialTimeout("tcp", address, clientDialTimeout)
 }
 
-// stall sends a complete request and a part of another one, and then waits for the gateway to close the connection.
+// stall sends a complete request and a part of another one, and then waits for the gateway to close the connection. It
+// counts a connection that is still open after stalledClientTimeout.
 func (c *faultyClients) stall(address, partialRequest string) {
 	conn, err := dial(address)
 	if err != nil {
@@ -62,13 +64,13 @@
 	if _, err := io.WriteString(conn, partialRequest); err != nil {
 		return
 	}
-	_ = conn.SetReadDeadline(time.Now().Add(stalledClientTimeout)) // fails only on a closed connection
+	_ = conn.SetReadDeadline(time.Now().Add(stalledClientTimeout)) // after an error the read fails too
 	if _, err := io.Copy(io.Discard, reader); errors.Is(err, os.ErrDeadlineExceeded) {
 		c.stalledKept.Add(1)
 	}
 }
 
-// flood opens connections that send nothing, and keeps them open for length.
+// flood opens connections, sends nothing on them and keeps them open for the time length.
 func (c *faultyClients) flood(address string, length time.Duration) {
 	var conns []net.Conn
 	for range floodConnections {
@@ -85,7 +87,7 @@
 }
 
 // pipeline sends many requests at once and counts those without a response. It ignores connections without any
-// response, because the gateway may never have accepted them, and failures in runs in which gateways may be killed.
+// response, because the gateway may never have accepted them, and all connections of runs that may kill gateways.
 func (c *faultyClients) pipeline(address string, mayBeKilled func() bool) {
 	conn, err := dial(address)
 	if err != nil {
@@ -109,7 +111,7 @@
 	}
 }
 
-// sendGarbage sends a request and many bytes after it that are no request, and closes the connection at once.
+// sendGarbage sends a request followed by many bytes that are not a request, and closes the connection at once.
 func (c *faultyClients) sendGarbage(address string) {
 	conn, err := dial(address)
 	if err != nil {
--- a/internal/soak/findings.go
+++ b/internal/soak/findings.go
@@ -12,10 +12,10 @@
 	"springfield/internal/emulator/loopback"
 )
 
-// forbiddenLogTexts must not occur in the log of a gateway.
+// forbiddenLogTexts lists texts that must not occur in the log of a gateway.
 var forbiddenLogTexts = []string{`msg="invariant violated"`, "panic: ", "fatal error: ", "WARNING: DATA RACE"}
 
-// connectFailureKinds are the kinds of fault that can make connects fail because of an endpoint or the network.
+// connectFailureKinds lists the kinds of fault that can make connects fail because of an endpoint or the network.
 var connectFailureKinds = []Kind{
 	Kind(emulator.FaultDrainEndpoints), Kind(emulator.FaultReplace), Kind(emulator.FaultStopEndpoints),
 	Kind(emulator.FaultPartition), Kind(emulator.FaultKillGateways), Kind(emulator.FaultResets),
@@ -43,9 +43,9 @@
 	add("late end", summary.DrainsKilled+remaining, "gateways did not exit in time after SIGTERM")
 	add("unknown request", int(summary.UnknownRequests), "endpoints received requests that no client had sent")
 	if r.plan.has(SlowLists) && r.plan.has(Kind(emulator.FaultDiscoveryDown)) {
-		starved = 0 // gateways that start without a list get none until discovery is up and the slow list is complete
+		starved = 0 // a gateway that starts without a list gets one only when discovery is up and the slow list is complete
 	}
-	add("starvation", starved, "gateways rejected all requests for five seconds")
+	add("starvation", starved, "gateways rejected all requests for at least five seconds")
 	add("stalled client kept", int(r.faultyClients.stalledKept.Load()), "gateways did not close connections in time")
 	add("pipelined request unanswered", int(r.faultyClients.unansweredRequests.Load()),
 		"connections were closed before the last response")
@@ -78,7 +78,7 @@
 }
 
 // localFailureFindings returns connect failures of the gateway's own machine that the gateway attributed to endpoints.
-// It finds none in runs in which connects can fail for other reasons.
+// In runs in which connects can also fail for other reasons, it returns none.
 func (r *runner) localFailureFindings(log string) []Finding {
 	if !r.plan.has(FailConnect) {
 		return nil
--- a/internal/soak/kind.go
+++ b/internal/soak/kind.go
@@ -11,7 +11,7 @@
 
 // The kinds of fault that a scenario's fault schedule does not support.
 const (
-	PauseGateways   Kind = "pause_gateways"   // gateway processes are stopped for 0.15 s repeatedly
+	PauseGateways   Kind = "pause_gateways"   // gateway processes are suspended for 0.15 s repeatedly
 	CloseLogs       Kind = "close_logs"       // the reading end of a gateway's log is closed
 	StallLogs       Kind = "stall_logs"       // the pipe of a gateway's log is full and not read
 	HalfConfigs     Kind = "half_configs"     // a gateway gets SIGHUP while its configuration is half written
@@ -20,13 +20,13 @@
 	SlowLists       Kind = "slow_lists"       // endpoint lists arrive slowly, and gateways start without one
 	ClockOffset     Kind = "clock_offset"     // clocks of gateways and cold endpoints differ by up to an hour
 	IdleFlood       Kind = "idle_flood"       // many connections of clients send nothing
-	StalledClients  Kind = "stalled_clients"  // clients stop inside a request and stay connected
+	StalledClients  Kind = "stalled_clients"  // clients stop in the middle of a request and stay connected
 	LateConnects    Kind = "late_connects"    // connections to endpoints are established late
-	SpoiltBytes     Kind = "spoilt_bytes"     // responses are cut, stalled, sent in pieces or doubled at any byte
-	PipeliningCrowd Kind = "pipelining_crowd" // clients pipeline requests, or send garbage after one and leave
+	SpoiltBytes     Kind = "spoilt_bytes"     // responses are truncated or stalled at any byte, trickled or sent twice
+	PipeliningCrowd Kind = "pipelining_crowd" // clients pipeline requests, or send garbage after a request and disconnect
 )
 
-// scheduledKinds are the kinds of fault that a scenario's fault schedule supports.
+// scheduledKinds lists the kinds of fault that a scenario's fault schedule supports.
 var scheduledKinds = []Kind{
 	Kind(emulator.FaultKillGateways), Kind(emulator.FaultRestartGateways), Kind(emulator.FaultDrainEndpoints),
 	Kind(emulator.FaultReplace), Kind(emulator.FaultStopEndpoints), Kind(emulator.FaultSlowEndpoints),
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -10,12 +10,12 @@
 
 const (
 	loadLength       = 8 * time.Second
-	firstFaultAt     = 1500 * time.Millisecond
-	maxFaultStartGap = time.Second // upper limit of the time between the starts of two consecutive faults
+	firstFaultAt     = 1500 * time.Millisecond // time from the start of the load to the first fault
+	maxFaultStartGap = time.Second             // longest time between the starts of two consecutive faults
 	minFaultLength   = 1500 * time.Millisecond
 	maxFaultLength   = 3 * time.Second
 	minGateways      = 10
-	maxExtraGateways = 4
+	maxExtraGateways = 4 // largest number of gateways beyond minGateways
 	endpointCount    = 8
 	zoneCount        = 2
 )
@@ -23,7 +23,7 @@
 // Fault is one fault of a run.
 type Fault struct {
 	Kind   Kind
-	At     time.Duration // since the start of the load
+	At     time.Duration // time from the start of the load to the fault
 	Length time.Duration
 }
 
@@ -34,7 +34,7 @@
 	Faults   []Fault
 }
 
-// NewPlan returns the run of a seed. The seed selects a pair of kinds of fault, so that consecutive seeds cover all
+// NewPlan returns the plan of a seed. The seed selects a pair of kinds of fault, so that consecutive seeds cover all
 // pairs; most runs have a third kind. Each fault starts while the one before it is active.
 func NewPlan(seed uint64) Plan {
 	random := rand.New(rand.NewPCG(seed, 0))
@@ -57,7 +57,7 @@
 		plan.Faults = append(plan.Faults, Fault{Kind: kind, At: at, Length: length})
 		at += time.Duration(random.Int64N(int64(min(maxFaultStartGap, length))))
 	}
-	random.Shuffle(len(plan.Faults), func(i, j int) { // randomizes which kind starts first
+	random.Shuffle(len(plan.Faults), func(i, j int) { // the order of the kinds is random
 		plan.Faults[i].Kind, plan.Faults[j].Kind = plan.Faults[j].Kind, plan.Faults[i].Kind
 	})
 	return plan
@@ -128,7 +128,7 @@
 // Parameters of scheduled faults.
 const (
 	affectedShare  = 0.3 // share of the gateways or endpoints that are affected
-	slowdownFactor = 6   // slowdown of slow endpoints and late lists
+	slowdownFactor = 6   // factor by which slow endpoints and late lists are slowed down
 	failureShare   = 0.3 // share of the requests or attempts that are affected
 )
 
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -55,13 +55,13 @@
 
 // Guards against shrunk plans that keep a fault that the finding does not need, or lose one that it needs.
 func TestShrinkKeepsOnlyNeededFaults(t *testing.T) {
-	const what = "planted"
+	const what = "expected finding"
 	plan := Plan{Faults: []Fault{{Kind: CloseLogs}, {Kind: SlowLists}, {Kind: FailAccept}}}
 	run := func(needed ...Kind) func(context.Context, Plan) (Result, error) {
 		return func(_ context.Context, plan Plan) (Result, error) {
 			for _, kind := range needed {
 				if !plan.has(kind) {
-					return Result{Findings: []Finding{{What: "another"}}}, nil
+					return Result{Findings: []Finding{{What: "another finding"}}}, nil
 				}
 			}
 			return Result{Findings: []Finding{{What: what}}}, nil
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -16,7 +16,7 @@
 	findings map[string]*findingSummary
 }
 
-// findingSummary holds the first of several equal findings and the seeds of their runs.
+// findingSummary holds the first of the findings of one kind and the seeds of the runs that had one.
 type findingSummary struct {
 	seeds []uint64
 	first Finding
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// writePairs writes in how many runs each pair occurred, with a line for each kind and a column for each kind before
-// it.
+// writePairs writes in how many runs each pair occurred. It writes a line for each kind, with a column for each of the
+// kinds before that kind.
 func (r *Report) writePairs(w io.Writer) error {
 	kinds := Kinds()
 	for i, kind := range kinds {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -17,22 +17,22 @@
 	// shutdownTimeout is how long all gateway processes together may take to exit after SIGTERM at the end of a run.
 	shutdownTimeout = 6 * time.Second
 
-	// killDelay is added to the time after which a gateway that shuts down is killed. It distinguishes a gateway that is
-	// slightly late on a busy machine from one that does not exit.
+	// killDelay is added to the time after which a gateway that shuts down is killed, so that a gateway that is slightly
+	// late on a busy machine does not count as one that does not exit.
 	killDelay = 1500 * time.Millisecond
 
-	pauseLength      = 150 * time.Millisecond
-	pauseInterval    = 600 * time.Millisecond
-	slowListDuration = 3900 * time.Millisecond // longer than a discovery call may be silent, which is 3.5 s
+	pauseLength      = 150 * time.Millisecond  // how long a process is suspended
+	pauseInterval    = 600 * time.Millisecond  // time between the starts of two suspensions of a process
+	slowListDuration = 3900 * time.Millisecond // longer than the 3.5 s for which a discovery call may be silent
 	maxClockOffset   = time.Hour
-	affectedGateways = 3 // number of gateways that a fault of single gateways affects
+	affectedGateways = 3 // number of gateways that are affected by a fault of single gateways
 )
 
-// Options configure the runs of a soak.
+// Options configures the runs of a soak.
 type Options struct {
 	Gateway     string   // path of the gateway program, built with the tag faultinjection
 	GatewayArgs []string // arguments of the gateway program
-	Directory   string   // for the files of one run; it must exist
+	Directory   string   // directory of the files of one run; it must exist
 	Logger      *slog.Logger
 }
 
@@ -47,7 +47,7 @@
 
 // Finding is a broken rule or another failure of a gateway.
 type Finding struct {
-	What   string // kind of failure; findings of the same kind count as equal
+	What   string // kind of failure, by which a report groups findings
 	Count  int
 	Detail string
 }
@@ -146,7 +146,7 @@
 	}
 	addresses := r.world.Addresses().Gateways
 	switch fault.Kind {
-	case SlowLists: // lasts to the end of the load, because gateways also start without a list
+	case SlowLists: // the fault lasts to the end of the load, because gateways also start without a list
 		r.world.SlowLists(slowListDuration, loadLength)
 		for _, gateway := range r.pickGateways(fault) {
 			r.world.RestartWithoutList(gateway)
@@ -161,7 +161,7 @@
 	}
 }
 
-// injectAt carries out a fault at one gateway.
+// injectAt carries out a fault at one gateway. position is the index of the gateway among those affected.
 func (r *runner) injectAt(fault Fault, position, gateway int, address string) {
 	switch fault.Kind {
 	case PauseGateways:
@@ -204,18 +204,19 @@
 	}
 }
 
-// failCalls makes a system call of a gateway fail for a quarter of the length of the fault, because such failures are
-// brief.
+// failCalls makes a system call of a gateway fail for a quarter of the length of the fault, because failures of this
+// kind are brief.
 func (r *runner) failCalls(fault Fault, gateway int, call, failure string) {
 	const divisor = 4
 	r.world.FailSystemCalls(gateway, call+" "+failure, fault.Length/divisor)
 }
 
-// configRereadTime is shorter than the 2 s for which a gateway rereads a configuration file that it cannot use. The
-// difference is a margin.
+// configRereadTime is the longest time for which a configuration file is half written. A gateway rereads a
+// configuration file that it cannot use for 2 s; configRereadTime is shorter, so that the gateway still reads the
+// complete file.
 const configRereadTime = 1500 * time.Millisecond
 
-// The errors that are injected into system calls. Each affected gateway gets one of them.
+// Names of the errors that are injected into system calls. Each affected gateway gets one of them.
 var (
 	acceptErrors  = []string{"ENOBUFS", "ENOMEM", "EPROTO", "ENETUNREACH", "EHOSTUNREACH", "ENETDOWN", "EMFILE", "ENFILE"}
 	connectErrors = []string{"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "EADDRNOTAVAIL", "ENETUNREACH"}
@@ -226,5 +227,6 @@
 	return int((r.plan.Seed + uint64(position)) % uint64(count))
 }
 
-// gatewaysAreKilled reports whether the run kills gateways, which ends the connections that they have accepted.
+// gatewaysAreKilled reports whether the run kills gateways. A killed gateway closes the connections that it has
+// accepted.
 func (r *runner) gatewaysAreKilled() bool { return r.plan.has(Kind(emulator.FaultKillGateways)) }
--- a/internal/soak/shrink.go
+++ b/internal/soak/shrink.go
@@ -3,7 +3,7 @@
 import "context"
 
 // Shrink removes faults from a plan as long as a run of the remaining faults has the same finding. A finding that
-// depends on timing may not recur in each run; each removal is therefore tried several times before the fault is kept.
+// depends on timing may not recur in each run. Each removal is therefore tried several times before the fault is kept.
 func Shrink(ctx context.Context, plan Plan, what string,
 	run func(context.Context, Plan) (Result, error)) (Plan, error) {
 	const tries = 3
--- a/internal/soak/starvation.go
+++ b/internal/soak/starvation.go
@@ -6,9 +6,9 @@
 	"springfield/internal/emulator"
 )
 
-// A gateway starves if it rejects all requests for at least starvationTime, at least starvationRequests of them, and
-// forwards no attempt in between. The limit in operation is 4 s; it is longer here because an endpoint list may take
-// nearly 4 s (slowListDuration).
+// Limits of starvation. A gateway starves if it rejects all of its requests for at least starvationTime, at least
+// starvationRequests of them, and forwards no attempt in between. In a deployment, a gateway may not reject all of its
+// requests for 4 s. starvationTime is longer because an endpoint list may take nearly 4 s in a soak (slowListDuration).
 const (
 	starvationTime     = 5 * time.Second
 	starvationRequests = 15
@@ -22,9 +22,9 @@
 
 // rejectionSeries is the current series of rejections of a gateway.
 type rejectionSeries struct {
-	since    time.Duration
-	rejected int
-	counted  bool
+	since    time.Duration // time of the first rejection
+	rejected int           // number of rejections
+	counted  bool          // the series has been counted in starvationDetector.starved
 }
 
 var _ emulator.Observer = (*starvationDetector)(nil)
