--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// minPairs is the smallest number of pairs for which a confidence interval can be computed.
+// minPairs is the smallest number of pairs from which a confidence interval can be computed.
 const minPairs = 2
 
 // ErrNoRecords is returned when a side of a comparison has no records.
@@ -24,14 +24,14 @@
 
 // The verdicts. VerdictBetter and VerdictWorse require a confidence interval that excludes zero.
 const (
-	VerdictTooFewPairs Verdict = iota
-	VerdictSame                // the metric is equal in every pair
-	VerdictUnclear
-	VerdictBetter
-	VerdictWorse
+	VerdictTooFewPairs Verdict = iota // there are fewer than minPairs pairs
+	VerdictSame                       // the metric is equal in every pair
+	VerdictUnclear                    // the confidence interval of the difference contains zero
+	VerdictBetter                     // the metric is better on the side After
+	VerdictWorse                      // the metric is worse on the side After
 )
 
-// String returns the verdict in plain words.
+// String returns the verdict as it is shown to readers.
 func (v Verdict) String() string {
 	switch v {
 	case VerdictTooFewPairs:
@@ -49,7 +49,7 @@
 	}
 }
 
-// Comparison compares two sides. It pairs the records of the same size, seed and scenario.
+// Comparison is the comparison of two sides. A pair consists of records of the same size, seed and scenario.
 type Comparison struct {
 	Experiment      string
 	Before, After   Side
@@ -58,14 +58,14 @@
 	ScenarioChanged int // unpaired records whose counterpart of the same size and seed ran another scenario
 }
 
-// SizeComparison compares the pairs of one size.
+// SizeComparison is the comparison of the pairs of one size.
 type SizeComparison struct {
 	Size    float64
 	Seeds   []uint64 // seeds of the pairs, in ascending order
 	Metrics []MetricComparison
 }
 
-// MetricComparison compares the pairs of one size by one metric.
+// MetricComparison is the comparison of the pairs of one size by one metric.
 type MetricComparison struct {
 	Metric        Metric
 	Before, After float64  // means over the pairs
@@ -113,6 +113,7 @@
 	seed uint64
 }
 
+// recordPair holds the records of one size and seed from both sides.
 type recordPair struct{ before, after *Record }
 
 func recordsOfSide(records []Record, experiment string, side Side) map[pairKey]*Record {
--- a/internal/experiment/compare_test.go
+++ b/internal/experiment/compare_test.go
@@ -22,7 +22,8 @@
 
 // Guards against a wrong mean, standard error or quantile in the confidence interval of a sample.
 func TestMeanIntervalMatchesManualCalculation(t *testing.T) {
-	// Mean 3, standard deviation sqrt(2.5), standard error sqrt(0.5), t of 4 degrees 2.77645.
+	// The mean is 3, the standard deviation sqrt(2.5), the standard error sqrt(0.5), and t with 4 degrees of freedom
+	// 2.77645.
 	got := meanInterval([]float64{1, 2, 3, 4, 5})
 	if math.Abs(got.Mean-3) > 1e-12 || math.Abs(got.Low-1.03676) > 1e-4 || math.Abs(got.High-4.96324) > 1e-4 {
 		t.Errorf("the interval is %+v, want 3 from 1.03676 to 4.96324", got)
@@ -37,6 +38,7 @@
 	return record
 }
 
+// oldSide and newSide select the records that the tests create with recordWithService.
 var oldSide, newSide = Side{"old", Springfield}, Side{"new", Springfield}
 
 // compareServices compares records with the given services, which have the seeds 0, 1, 2 and so on.
@@ -76,7 +78,7 @@
 		before, after    []float64
 		service, latency Verdict
 	}{
-		// The values of the seeds differ by far more than those of the versions, so that only pairs show the difference.
+		// Here the values differ far more between seeds than between versions, so that only paired differences are clear.
 		{"paired gain", []float64{0.2, 0.5, 0.8, 0.4}, []float64{0.23, 0.54, 0.83, 0.44}, VerdictBetter, VerdictWorse},
 		{"paired loss", []float64{0.23, 0.54, 0.83}, []float64{0.2, 0.5, 0.8}, VerdictWorse, VerdictBetter},
 		{"noise", []float64{0.5, 0.6, 0.7}, []float64{0.6, 0.5, 0.7}, VerdictUnclear, VerdictUnclear},
@@ -92,7 +94,7 @@
 	}
 }
 
-// Guards against pairs of records whose scenario differs, and against unpaired records that are not counted.
+// Guards against pairs of records whose scenarios differ, and against unpaired records that are not counted.
 func TestComparePairsOnlyEqualRuns(t *testing.T) {
 	changed := recordWithService("new", 2, 0.6)
 	changed.Scenario = "another"
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -25,7 +25,7 @@
 	FormLoopback Form = "loopback" // gateway processes on loopback sockets, in real time
 )
 
-// Springfield is the name of the decider that runs this project's policy.
+// Springfield is the name of the decider that uses this project's policy.
 const Springfield = "springfield"
 
 // Experiment holds the content of an experiment file.
@@ -36,7 +36,7 @@
 	Deciders     []string          `toml:"deciders"`
 	Seeds        []uint64          `toml:"seeds"`
 	Workers      int               `toml:"workers"`       // maximum number of concurrent runs; 0: one per core
-	ScenarioFile string            `toml:"scenario_file"` // relative to the experiment file; Scenario overrides it
+	ScenarioFile string            `toml:"scenario_file"` // relative to the experiment file; Scenario overrides its keys
 	Sweep        *Sweep            `toml:"sweep"`
 	Scenario     emulator.Scenario `toml:"scenario"`
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -11,6 +11,7 @@
 	"springfield/internal/emulator/model"
 )
 
+// experimentsDirectory is the directory of the repository's experiment files.
 const experimentsDirectory = "../../experiments"
 
 // writeFiles writes an experiment file and a base scenario, and returns the path of the experiment file.
@@ -46,6 +47,7 @@
 	return path
 }
 
+// validHeader is the beginning of a valid experiment file.
 const validHeader = `name = "trial"
 form = "virtual"
 deciders = ["springfield"]
@@ -97,8 +99,8 @@
 		{"bad form and seeds", "name = \"trial\"\nform = \"real\"\ndeciders = [\"springfield\"]\nseeds = [1, 1]\n" +
 			"scenario_file = \"base.toml\"\n",
 			[]FileError{{"experiment.toml", 2, "form", "real"}, {"experiment.toml", 4, "seeds[1]", "twice"}}},
-		{"unknown decider", strings.Replace(validHeader, "springfield", "shelbyville", 1),
-			[]FileError{{"experiment.toml", 3, "deciders[0]", "shelbyville"}}},
+		{"unknown decider", strings.Replace(validHeader, "springfield", "unknown-decider", 1),
+			[]FileError{{"experiment.toml", 3, "deciders[0]", "unknown-decider"}}},
 		{"baseline over sockets", "form = \"loopback\"\n" + strings.Replace(strings.Replace(validHeader,
 			"form = \"virtual\"\n", "", 1), "springfield", "even-split", 1),
 			[]FileError{{"experiment.toml", 3, "deciders[0]", "even-split"}}},
@@ -154,7 +156,8 @@
 	}
 }
 
-// Guards against keys of the base scenario that win over the experiment file, and against arrays that mix both files.
+// Guards against keys of the base scenario that override those of the experiment file, and against arrays that contain
+// elements of both files.
 func TestExperimentOverridesBaseScenario(t *testing.T) {
 	text := validHeader + `[scenario.clients]
 load = 0.25
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -99,8 +99,8 @@
 	return experiment, base, nil
 }
 
-// clearReplacedArrays removes the arrays that the document sets, too. Otherwise decoding would keep fields of the old
-// elements.
+// clearReplacedArrays removes those arrays of a base scenario that the document also sets. Otherwise decoding would
+// keep fields of the base's elements.
 func (d *tomlDocument) clearReplacedArrays(scenario *emulator.Scenario) {
 	if _, ok := d.lines["scenario.classes"]; ok {
 		scenario.Classes = nil
--- a/internal/experiment/key_lines.go
+++ b/internal/experiment/key_lines.go
@@ -52,7 +52,7 @@
 	return found
 }
 
-// lineFinder is the state of findKeyLines.
+// lineFinder holds the state of findKeyLines while it parses a document.
 type lineFinder struct {
 	parser        unstable.Parser
 	lines         keyLines
--- a/internal/experiment/loopback.go
+++ b/internal/experiment/loopback.go
@@ -15,12 +15,12 @@
 	"springfield/internal/measure"
 )
 
-// LoopbackOptions configure the gateway processes of loopback runs. Virtual runs do not use them.
+// LoopbackOptions configures the gateway processes of loopback runs. Virtual runs do not use them.
 type LoopbackOptions struct {
 	Gateway     string       // path of the gateway program
 	GatewayArgs []string     // arguments of the gateway program, usually none
-	Directory   string       // for configurations and logs; "": a temporary directory, removed after each run
-	Logger      *slog.Logger // nil: slog.Default()
+	Directory   string       // for configurations and logs; "" selects a temporary directory for each run
+	Logger      *slog.Logger // logger of the runs; nil selects slog.Default()
 }
 
 // ErrNoGateway is returned for a loopback run without the path of a gateway program.
@@ -96,5 +96,5 @@
 		return directory, func() {}, os.MkdirAll(directory, directoryMode)
 	}
 	directory, err = os.MkdirTemp("", "springfield-experiment-")
-	return directory, func() { _ = os.RemoveAll(directory) }, err // a failure leaves files only in os.TempDir
+	return directory, func() { _ = os.RemoveAll(directory) }, err // an error leaves files only in os.TempDir
 }
--- a/internal/experiment/runner.go
+++ b/internal/experiment/runner.go
@@ -13,7 +13,7 @@
 // ErrInvalidVersion is returned for a version that cannot be part of a record's key in the store.
 var ErrInvalidVersion = errors.New("the version is empty or contains a zero byte")
 
-// Options configure the execution of an experiment.
+// Options configures the execution of an experiment.
 type Options struct {
 	RunFunc  RunFunc
 	Version  string         // version of the program, under which results are stored
--- a/internal/experiment/runner_test.go
+++ b/internal/experiment/runner_test.go
@@ -15,6 +15,7 @@
 	"springfield/internal/measure"
 )
 
+// trialExperiment returns a virtual experiment with the default scenario.
 func trialExperiment(seeds ...uint64) *Experiment {
 	return &Experiment{Name: "trial", Form: FormVirtual, Deciders: []string{Springfield}, Seeds: seeds,
 		Scenario: model.DefaultScenario()}
@@ -48,7 +49,7 @@
 	return totals
 }
 
-// Guards against records in the order in which concurrent runs finish.
+// Guards against records that are returned in the order in which concurrent runs finish.
 func TestExecuteReturnsRecordsInRunOrder(t *testing.T) {
 	var runs atomic.Int64
 	experiment := trialExperiment(9, 1, 5, 3, 7, 2)
@@ -131,7 +132,7 @@
 	execute("another version", changed, options, 2)
 
 	records, err := store.Records("trial")
-	if err != nil || len(records) != 5 { // three seeds of v1, two of v2
+	if err != nil || len(records) != 5 { // the records are those of three seeds of v1 and two of v2
 		t.Errorf("%d records, error %v, want 5", len(records), err)
 	}
 	names, err := store.Experiments()
@@ -140,7 +141,7 @@
 	}
 }
 
-// Guards against one failed run that ends the experiment or hides its error.
+// Guards against a failed run that stops the experiment, and against the loss of its error.
 func TestFailedRunDoesNotStopOthers(t *testing.T) {
 	errBroken := errors.New("broken")
 	var runs atomic.Int64
@@ -225,6 +226,6 @@
 // Guards against records without a version, which cannot be told apart in the store.
 func TestExecuteRejectsEmptyVersion(t *testing.T) {
 	if _, err := Execute(t.Context(), trialExperiment(1), Options{}); !errors.Is(err, ErrInvalidVersion) {
-		t.Errorf("the error is %v, want ErrBadVersion", err)
+		t.Errorf("the error is %v, want ErrInvalidVersion", err)
 	}
 }
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -19,6 +19,7 @@
 // storeLockTimeout is how long OpenStore waits for another process to close the store.
 const storeLockTimeout = 2 * time.Second
 
+// storeFileMode is the file mode of a new store.
 const storeFileMode = 0o644
 
 // ErrStoreInUse is returned when another process keeps the store open.
@@ -81,7 +82,7 @@
 	var value []byte
 	err := s.db.View(func(tx *bbolt.Tx) error {
 		if bucket := tx.Bucket([]byte(wanted.Experiment)); bucket != nil {
-			value = append(value, bucket.Get(wanted.key())...) // bbolt's memory is valid only during the transaction
+			value = append(value, bucket.Get(wanted.key())...) // copied, because it is valid only in the transaction
 		}
 		return nil
 	})
--- a/internal/experiment/student_t.go
+++ b/internal/experiment/student_t.go
@@ -7,13 +7,13 @@
 
 // Tolerances and iteration limits of the numerical functions of this file.
 const (
-	fractionTolerance = 1e-14
-	fractionTerms     = 500
-	bisectionSteps    = 200
-	minLentzFactor    = 1e-300
+	fractionTolerance = 1e-14  // relative change at which betaFraction stops
+	fractionTerms     = 500    // maximum number of terms that betaFraction evaluates
+	bisectionSteps    = 200    // number of bisections in studentQuantile
+	minLentzFactor    = 1e-300 // smallest absolute value by which the Lentz method divides
 )
 
-// Interval holds the mean of a sample and the confidence interval of the mean by Student's t distribution.
+// Interval holds the mean of a sample and the confidence interval of the mean, computed with Student's t distribution.
 type Interval struct {
 	Mean, Low, High float64
 }
@@ -67,7 +67,7 @@
 	logB, _ := math.Lgamma(b)
 	logSum, _ := math.Lgamma(a + b)
 	prefactor := math.Exp(logSum - logA - logB + a*math.Log(x) + b*math.Log1p(-x))
-	if x < (a+1)/(a+b+2) { // where the continued fraction converges fast
+	if x < (a+1)/(a+b+2) { // here the continued fraction converges fast
 		return prefactor * betaFraction(x, a, b) / a
 	}
 	return 1 - prefactor*betaFraction(1-x, b, a)/b
@@ -94,7 +94,7 @@
 	return result
 }
 
-// avoidZero replaces values close to zero, because the Lentz method divides by them.
+// avoidZero replaces values whose absolute value is below minLentzFactor, because the Lentz method divides by them.
 func avoidZero(value float64) float64 {
 	if math.Abs(value) < minLentzFactor {
 		return minLentzFactor
--- a/internal/experiment/sweep.go
+++ b/internal/experiment/sweep.go
@@ -19,6 +19,7 @@
 	apply   func(scenario *emulator.Scenario, value float64)
 }
 
+// sweepKeys holds the scenario keys that can be swept.
 var sweepKeys = map[string]sweepKey{
 	"gateways":        {integer: true, apply: setGateways},
 	"endpoints.count": {integer: true, apply: func(s *emulator.Scenario, v float64) { s.Endpoints.Count = int(v) }},
@@ -37,8 +38,8 @@
 	return keys
 }
 
-// setGateways sets the number of gateways and scales the number of endpoints to keep their ratio. The load scales with
-// it, because it is given as a share of the capacity of the endpoints.
+// setGateways sets the number of gateways and scales the number of endpoints to keep their ratio. The load grows in
+// proportion, because a scenario states it as a share of the capacity of the endpoints.
 func setGateways(scenario *emulator.Scenario, value float64) {
 	perGateway := float64(scenario.Endpoints.Count) / float64(scenario.Gateways)
 	scenario.Gateways = int(value)
--- a/internal/experiment/text.go
+++ b/internal/experiment/text.go
@@ -87,7 +87,7 @@
 		first.Size, len(group), service, worst, latency, price, broken)
 }
 
-// table writes aligned columns and stores the first error.
+// table writes aligned columns and stores the first write error.
 type table struct {
 	writer *tabwriter.Writer
 	err    error
--- a/internal/experiment/validate.go
+++ b/internal/experiment/validate.go
@@ -16,9 +16,10 @@
 // scenarioPrefix is the prefix of the scenario's keys in an experiment file.
 const scenarioPrefix = "scenario."
 
-// maxSweptValue bounds swept values, so that a typing error is reported and does not start a run that never ends.
+// maxSweptValue is the largest swept value, so that a mistyped value is reported and does not start an endless run.
 const maxSweptValue = 100_000
 
+// namePattern matches valid names of experiments.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9_-]*$`)
 
 // keyError is an error in the value of a key.
--- a/internal/experiment/virtual_test.go
+++ b/internal/experiment/virtual_test.go
@@ -64,10 +64,10 @@
 	runFunc := NewRunFunc(LoopbackOptions{Directory: t.TempDir()})
 	for _, form := range []Form{FormVirtual, FormLoopback} {
 		run := shortExperiment(1).Runs()[0]
-		run.Form, run.Decider = form, "shelbyville"
+		run.Form, run.Decider = form, "unknown-decider"
 		_, _, err := runFunc(t.Context(), run)
 		var unknown *UnknownDeciderError
-		if !errors.As(err, &unknown) || unknown.Name != "shelbyville" {
+		if !errors.As(err, &unknown) || unknown.Name != "unknown-decider" {
 			t.Errorf("%s: the error is %v, want UnknownDeciderError", form, err)
 		}
 	}
--- a/internal/measure/endpoints.go
+++ b/internal/measure/endpoints.go
@@ -14,9 +14,10 @@
 	byID  map[policy.EndpointID]*endpointLoad
 }
 
+// endpointLoad is the load of one endpoint up to now.
 type endpointLoad struct {
 	totals             EndpointLoad
-	up                 bool
+	up                 bool          // the endpoint's process is running
 	receivedThisSecond int64         // attempts received in the current second
 	inFlight           int           // attempts that have been received and have not ended
 	changedAt          time.Duration // when inFlight last changed
@@ -49,7 +50,7 @@
 	load.totals.Stops++
 }
 
-// countAttempt counts a received attempt, but not as in flight.
+// countAttempt counts an attempt as received but not as in flight.
 func (e *endpointLoads) countAttempt(id policy.EndpointID) *endpointLoad {
 	load := e.load(id)
 	load.totals.Received++
@@ -71,14 +72,15 @@
 	l.totals.MaxInFlight = max(l.totals.MaxInFlight, l.inFlight)
 }
 
+// accumulateInFlight extends inFlightIntegral to the given time.
 func (l *endpointLoad) accumulateInFlight(now time.Duration) {
 	elapsed := max(0, now-l.changedAt)
 	l.inFlightIntegral += time.Duration(l.inFlight) * elapsed
 	l.changedAt = max(l.changedAt, now)
 }
 
-// endSecond returns how the attempts of the current second are distributed over the endpoints that are up, and starts
-// to count those of the next second.
+// endSecond returns the distribution of the current second's attempts over the endpoints that are up, and resets the
+// counts for the next second.
 func (e *endpointLoads) endSecond() Spread {
 	counts := make([]int64, 0, len(e.byID))
 	for _, load := range e.byID {
--- a/internal/measure/latency.go
+++ b/internal/measure/latency.go
@@ -6,7 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Range and precision of the histograms, which record latencies in microseconds with three significant digits.
+// Range and precision of latencyHistogram, which records latencies in microseconds with three significant digits.
 const (
 	shortestLatency    = time.Microsecond
 	longestLatency     = 10 * time.Minute
--- a/internal/measure/load_recorder_test.go
+++ b/internal/measure/load_recorder_test.go
@@ -8,8 +8,8 @@
 	"springfield/internal/emulator/model"
 )
 
-// The time that gateways take to become ready must not count as a part of the run, but the observations made in it must
-// be kept.
+// The time in which gateways become ready must not count as a part of the run, but observations from that time must be
+// kept.
 func TestLoadRecorderStartsTimelineWithTheLoad(t *testing.T) {
 	scenario := model.DefaultScenario()
 	recorder := NewLoadRecorder(&scenario)
--- a/internal/measure/outcome.go
+++ b/internal/measure/outcome.go
@@ -7,7 +7,7 @@
 	"springfield/policy"
 )
 
-// settleQuota corrects the charged units of a try to its true units at its first successful response.
+// settleQuota corrects the charged units of a try to its true units when the try has its first successful response.
 func (r *Recorder) settleQuota(t *try, o *emulator.AttemptEnded) {
 	if o.Status == policy.StatusOK && t.received && !t.succeeded {
 		t.succeeded = true
@@ -97,7 +97,7 @@
 	r.removeIfDone(t)
 }
 
-// expireRequests removes the requests that expire by the given time, which may be later than now.
+// expireRequests removes the requests that expire at or before the time by, which may be later than now.
 func (r *Recorder) expireRequests(by, now time.Duration) {
 	for class := range r.open.byClass {
 		for {
--- a/internal/measure/quota.go
+++ b/internal/measure/quota.go
@@ -12,7 +12,7 @@
 // quota determines for each try whether it is inside the quota of its customer, from the true state of the whole
 // deployment.
 type quota struct {
-	settled bool
+	settled bool // the scenario corrects charges to the true units
 	ledger  *model.Ledger
 }
 
@@ -43,7 +43,7 @@
 type singleGateway struct {
 	scenario       *emulator.Scenario
 	ledger         *model.Ledger
-	executingUntil map[policy.CustomerID][]time.Duration // when the execution of each admitted request of a customer ends
+	executingUntil map[policy.CustomerID][]time.Duration // when the executions of a customer's admitted requests end
 }
 
 func newSingleGateway(scenario *emulator.Scenario) *singleGateway {
--- a/internal/measure/recorder.go
+++ b/internal/measure/recorder.go
@@ -16,7 +16,7 @@
 
 	open         openRequests
 	quota        *quota
-	idealGateway *singleGateway
+	idealGateway *singleGateway // decides which first tries count as requested inside their quota
 
 	overall      group
 	plans        []group
--- a/internal/measure/recorder_test.go
+++ b/internal/measure/recorder_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// testRun drives a recorder with requests of one customer.
+// testRun feeds a recorder with observations of the requests of one customer.
 type testRun struct {
 	*Recorder
 }
@@ -98,8 +98,8 @@
 // A request over the quota must earn only the plan's share of its value, and must count with its cost.
 func TestOverQuotaRequestEarnsReducedValue(t *testing.T) {
 	run := newTestRun(testScenario())
-	run.serve(0, 1, 3)   // uses the whole burst
-	run.serve(100, 2, 2) // exceeds the quota
+	run.serve(0, 1, 3)   // the request uses the whole burst
+	run.serve(100, 2, 2) // the request exceeds the quota
 	result := run.finish(2000)
 	wantNear(t, "requested in quota", result.Value.RequestedInQuota, 60)
 	wantNear(t, "requested", result.Value.Requested, 60+0.25*40)
@@ -184,16 +184,16 @@
 	}
 }
 
-// Requests without an answer by their deadline must count as missing and leave the memory. Only a client that goes
-// before its deadline counts as disconnected.
+// Requests without an answer by their deadline must count as missing and be removed from memory. Only a client that
+// disconnects before its deadline counts as disconnected.
 func TestUnansweredRequestsCountAsMissing(t *testing.T) {
 	run := newTestRun(testScenario())
 	run.submit(0, 1, 1, 1)
 	run.submit(0, 2, 2, 1)
 	run.submit(0, 3, 3, 1)
 	run.at(300, emulator.ClientDisconnected{Request: 2})
-	run.at(1000, emulator.ClientDisconnected{Request: 3}) // disconnects at its deadline
-	run.submit(9000, 4, 4, 1)                             // expires the earlier requests
+	run.at(1000, emulator.ClientDisconnected{Request: 3}) // the client disconnects at its deadline
+	run.submit(9000, 4, 4, 1)                             // the submission expires the earlier requests
 	if len(run.open.requests) != 1 || len(run.open.tries) != 1 {
 		t.Errorf("got %d requests and %d tries in memory, want 1", len(run.open.requests), len(run.open.tries))
 	}
@@ -206,7 +206,7 @@
 	}
 }
 
-// An attempt in flight reaches its endpoint although the client has disconnected, so that it must still use the quota.
+// An attempt that reaches its endpoint after its client has disconnected must use the quota.
 func TestAttemptOfADisconnectedClientTakesUnits(t *testing.T) {
 	run := newTestRun(testScenario())
 	run.submit(0, 1, 1, 3)
@@ -223,7 +223,8 @@
 	}
 }
 
-// A try beyond the limit on concurrent attempts is over the quota, and settled units must be returned to the quota.
+// A try beyond the limit on concurrent attempts must count as over the quota, and settled units must be returned to the
+// quota.
 func TestQuotaAppliesConcurrencyLimitAndSettlement(t *testing.T) {
 	scenario := testScenario()
 	scenario.Plans[0].MaxConcurrent = 1
@@ -271,8 +272,8 @@
 	}
 }
 
-// A fault that does not end is active until the end of the run. An unanswered request must lower the ratio of its
-// window.
+// A fault that does not end must count as active until the end of the run, and an unanswered request must lower the
+// ratio of its ten-second window.
 func TestFaultSpansAndWorstWindowAreReported(t *testing.T) {
 	run := newTestRun(testScenario())
 	fault := emulator.Fault{Kind: emulator.FaultSlowEndpoints, Share: 0.5}
--- a/internal/measure/request.go
+++ b/internal/measure/request.go
@@ -12,11 +12,11 @@
 // attempt is still attributed to it.
 const expiryGrace = time.Second
 
-// outcomeKind is how a request or a try has ended.
+// outcomeKind is the way in which a request or a try has ended.
 type outcomeKind uint8
 
 const (
-	outcomeMissing outcomeKind = iota // not answered, or not yet
+	outcomeMissing outcomeKind = iota // there is no answer, or none yet
 	outcomeServed
 	outcomeLate
 	outcomeSpoilt
@@ -35,7 +35,7 @@
 	submitted   time.Duration
 	expiresAt   time.Duration
 	value       float64
-	outcomeKind outcomeKind // that of the served try if there is one, otherwise that of the try that ended last
+	outcomeKind outcomeKind // outcome of the served try, or of the try that ended last if none is served
 	openTries   []*try
 }
 
@@ -51,12 +51,12 @@
 	key       emulator.RequestKey
 	request   *request
 	deadline  time.Duration
-	units     float64 // estimate that the request carries
-	trueUnits float64 // true size, once an attempt has been received; before that, units
+	units     float64 // estimated size that the request states
+	trueUnits float64 // true size; equal to units until an attempt has been received
 	received  bool    // an attempt has reached an endpoint and has taken the units
-	inQuota   bool    // the units were inside the quota; set once an attempt has been received
+	inQuota   bool    // the units were inside the quota when the first attempt was received
 	forwarded bool    // an attempt has been sent
-	pending   int     // attempts that were sent and have not ended
+	pending   int     // number of attempts that were sent and have not ended
 	succeeded bool    // an attempt has had a successful response
 	ended     bool    // the client has its answer or has disconnected
 	inFlight  []attempt
@@ -82,7 +82,7 @@
 type openRequests struct {
 	requests map[emulator.RequestKey]*request
 	tries    map[emulator.RequestKey]*try
-	byClass  [][]*request // in order of expiry, because all requests of a class are kept equally long
+	byClass  [][]*request // requests of each class in order of expiry, since a class has one deadline
 }
 
 func newOpenRequests(classes int) openRequests {
--- a/internal/measure/result.go
+++ b/internal/measure/result.go
@@ -28,7 +28,7 @@
 
 // Service holds ratios of earned value to requested value, from 0 to 1. A ratio is 1 if nothing was requested.
 type Service struct {
-	Whole           float64 `json:"whole"`             // ratio over the whole run
+	Whole           float64 `json:"whole"`             // ratio of the whole run
 	WorstTenSeconds float64 `json:"worst_ten_seconds"` // lowest ratio of any ten consecutive seconds of the load
 	WorstClass      float64 `json:"worst_class"`       // lowest ratio of all classes
 	WorstPlan       float64 `json:"worst_plan"`        // lowest ratio of all plans, inside quotas only
@@ -103,7 +103,7 @@
 	Received       int64   `json:"received"` // attempts received
 	Executed       int64   `json:"executed"`
 	NewConnections int64   `json:"new_connections"`
-	Starts         int     `json:"starts"` // starts of its process in the run
+	Starts         int     `json:"starts"` // starts of the endpoint's process in the run
 	Stops          int     `json:"stops"`
 	Overloads      int     `json:"overloads"`      // failures by overload during warm-up
 	MeanInFlight   float64 `json:"mean_in_flight"` // mean over the run of the attempts in flight
--- a/internal/measure/timeline.go
+++ b/internal/measure/timeline.go
@@ -11,7 +11,7 @@
 // timeline collects the results of each second of a run. Events before its start count in the first second.
 type timeline struct {
 	start   time.Duration
-	plans   int
+	plans   int // number of plans
 	seconds []Second
 	latency latencyHistogram // latencies of the current second
 }
@@ -27,7 +27,7 @@
 	t.seconds = append(t.seconds, Second{Second: len(t.seconds), Plans: make([]PlanSecond, t.plans)})
 }
 
-// advance ends all seconds that have passed and begins the current one.
+// advance ends all seconds that are over at the time now, and begins the current second.
 func (t *timeline) advance(now time.Duration, endpoints *endpointLoads) {
 	for now >= t.start+time.Duration(len(t.seconds))*time.Second {
 		t.endSecond(endpoints)
@@ -45,7 +45,7 @@
 // current returns the current second.
 func (t *timeline) current() *Second { return &t.seconds[len(t.seconds)-1] }
 
-// at returns the second in which a time lies, or the nearest one.
+// at returns the second that contains a time, or the nearest one that exists.
 func (t *timeline) at(when time.Duration) *Second {
 	index := int((when - t.start) / time.Second)
 	return &t.seconds[min(max(0, index), len(t.seconds)-1)]
--- a/internal/report/figure.go
+++ b/internal/report/figure.go
@@ -26,7 +26,7 @@
 	FigureEndpointLoad Figure = "endpoint-load"
 )
 
-// The errors for invalid arguments.
+// Errors for invalid arguments.
 var (
 	ErrUnknownFigure = errors.New("unknown figure")
 	ErrNoResults     = errors.New("no results to report")
--- a/internal/report/legend.go
+++ b/internal/report/legend.go
@@ -10,9 +10,9 @@
 // Dimensions of a legend.
 const (
 	legendRowHeight  = vg.Length(13)
-	legendLineLength = vg.Length(20)
-	legendTextGap    = vg.Length(4)
-	legendEntryGap   = vg.Length(14)
+	legendLineLength = vg.Length(20) // length of the sample line of an entry
+	legendTextGap    = vg.Length(4)  // distance between the sample line and the label of an entry
+	legendEntryGap   = vg.Length(14) // distance between two entries of a row
 )
 
 // legendRow holds the entries of one row of a legend.
--- a/internal/report/picture.go
+++ b/internal/report/picture.go
@@ -19,9 +19,9 @@
 	pictureWidth  = 6.2 * vg.Inch
 	pictureHeight = 3 * vg.Inch
 	titleHeight   = vg.Length(20)
-	titleGap      = vg.Length(3)
-	legendIndent  = vg.Length(8)
-	legendGap     = vg.Length(4)
+	titleGap      = vg.Length(3)  // distance between the upper edge and the title
+	legendIndent  = vg.Length(8)  // distance between the left edge and the legend
+	legendGap     = vg.Length(4)  // distance between the legend and the plot
 	rightMargin   = vg.Length(10) // leaves room for half of the last label of the horizontal axis
 )
 
@@ -53,7 +53,7 @@
 
 // picture is a plot with its legend above it, and its title above both.
 type picture struct {
-	title  string // "": no title
+	title  string // may be empty
 	curves []curve
 	plot   *plot.Plot
 }
--- a/internal/report/plot.go
+++ b/internal/report/plot.go
@@ -35,7 +35,7 @@
 var (
 	textColor       = color.RGBA{R: 0x1C, G: 0x1C, B: 0x1C, A: 0xFF}
 	gridColor       = color.RGBA{R: 0xD8, G: 0xD8, B: 0xD8, A: 0xFF}
-	faultColor      = color.RGBA{R: 0xF6, G: 0xE3, B: 0xDC, A: 0xFF} // light enough to keep curves and grid visible
+	faultColor      = color.RGBA{R: 0xF6, G: 0xE3, B: 0xDC, A: 0xFF} // light, so that curves and grid remain visible on it
 	faultLabelColor = color.RGBA{R: 0x8A, G: 0x3B, B: 0x22, A: 0xFF}
 )
 
@@ -44,8 +44,8 @@
 	labelSize      = vg.Length(9.5)
 	endOfLoadWidth = vg.Length(0.8)
 	titleSize      = vg.Length(11)
-	headroomFactor = 1.1 // length of the vertical axis over the highest value; leaves room for the labels of faults
-	minAxisTop     = 1.0
+	headroomFactor = 1.1 // ratio of the vertical axis to the highest value, so that the labels of faults have room
+	minAxisTop     = 1.0 // smallest upper end of the vertical axis, before headroomFactor is applied
 )
 
 // missingValue returns the value that leaves a gap in a curve.
@@ -108,7 +108,7 @@
 	drawing.Y.Min, drawing.Y.Max = 0, limits.top
 }
 
-// addCurve adds a line for each segment of a curve without a gap. A value is drawn at the middle of its second.
+// addCurve adds a line for each segment of a curve without a gap. The point of a value is at the middle of its second.
 func addCurve(drawing *plot.Plot, c curve) error {
 	for _, points := range segments(c.values) {
 		line, err := plotter.NewLine(points)
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	testStart      = 1_700_000_000 * time.Second
-	testRequests   = 400
-	nameWithMarkup = `<script>alert("&")</script>`
+	testStart    = 1_700_000_000 * time.Second
+	testRequests = 400
+	markupName   = `<script>alert("&")</script>`
 )
 
 // recordedResult returns the result of a short run in which every fifth request is rejected.
@@ -84,7 +84,7 @@
 
 // Guards against names of results or plans that inject markup into the page.
 func TestPageEscapesNames(t *testing.T) {
-	if page := renderPage(t, NamedResult{nameWithMarkup, recordedResult(nameWithMarkup)}); strings.Contains(page, "<script") {
+	if page := renderPage(t, NamedResult{markupName, recordedResult(markupName)}); strings.Contains(page, "<script") {
 		t.Error("the page contains a name that is not escaped")
 	}
 }
@@ -97,7 +97,7 @@
 	}
 }
 
-// Guards against a failure for results without any request, whose percentiles and shares have no samples.
+// Guards against an error for results without any request, whose percentiles and shares have no samples.
 func TestPageShowsResultsWithoutRequests(t *testing.T) {
 	scenario := emulator.Scenario{Length: emulator.Duration(time.Second)}
 	empty := measure.NewRecorder(&scenario, testStart).Result(testStart)
--- a/internal/report/ticks.go
+++ b/internal/report/ticks.go
@@ -7,7 +7,7 @@
 	"gonum.org/v1/plot"
 )
 
-// targetTickCount is the approximate number of labels of an axis.
+// targetTickCount is the approximate number of labels on an axis.
 const targetTickCount = 6
 
 // roundTicks places labels at multiples of 1, 2 or 5 times a power of ten.
