--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -72,8 +72,8 @@
 	return newOracle(cfg, actions, truth, lateOracleAge)
 }
 
-// InstantOracle returns a decider that sees the present true quotas and backlogs. It is an upper bound
-// that no real gateway can reach.
+// InstantOracle returns a decider that sees the present true quotas and backlogs. Its service is an upper bound that no
+// real gateway can reach.
 func InstantOracle(cfg policy.Config, actions policy.Actions, truth emulator.Truth) emulator.Decider {
 	return newOracle(cfg, actions, truth, 0)
 }
--- a/internal/baseline/decider_test.go
+++ b/internal/baseline/decider_test.go
@@ -78,7 +78,7 @@
 	})
 }
 
-// A rejection invites the client to retry, so it must not be the answer to a request that may have been executed,
+// A client may retry after a rejection, so a rejection must not be the answer to a request that may have been executed,
 // unless the request is idempotent.
 func TestRejectionOnlyIfClientMaySafelyRetry(t *testing.T) {
 	forEachBaseline(t, func(t *testing.T, newDecider emulator.NewDecider) {
--- a/internal/emulator/loopback/faults_test.go
+++ b/internal/emulator/loopback/faults_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// Gateways must follow discovery to another address and learn there which endpoints drain and which are new.
+// Gateways must use the new address of discovery, and receive the draining and the new endpoints from there.
 func TestGatewaysFollowMovedDiscoveryAndReplacedEndpoints(t *testing.T) {
 	o := runScenario(t, newScenario(4*time.Second,
 		newFault(emulator.FaultDiscoveryMoves, 200*time.Millisecond, 0, 0, 0),
--- a/internal/emulator/loopback/gateway.go
+++ b/internal/emulator/loopback/gateway.go
@@ -52,7 +52,7 @@
 	process           *process // nil while no process runs
 	state             gatewayState
 	inRotation        bool // the load balancer in front of the gateways routes new connections to the gateway
-	shutdownRequested bool // the gateway was told to shut down and has not become ready again
+	shutdownRequested bool // the gateway has received SIGTERM and has not become ready since
 	answersPending    bool // the process has ended, but clients may still be reading its answers
 	restartPending    bool // another process is to start when the current one has ended
 	stopObserved      bool // the end of the current process has been observed
--- a/internal/emulator/loopback/process.go
+++ b/internal/emulator/loopback/process.go
@@ -46,7 +46,7 @@
 // close ends the thread. It is called when all processes have ended.
 func (l *launcher) close() { close(l.starts) }
 
-// process is one process of a gateway, in a process group of its own. Its methods are safe for concurrent use.
+// process is one process of a gateway, in its own process group. Its methods are safe for concurrent use.
 type process struct {
 	command *exec.Cmd
 	log     *logPipe
--- a/internal/emulator/loopback/request.go
+++ b/internal/emulator/loopback/request.go
@@ -21,7 +21,7 @@
 // request is one try of a client: a first request or a retry. Its fields are accessed only in the scheduler, except the
 // message, which does not change.
 type request struct {
-	arrival            model.Arrival // the try; its Gateway is the one that the load balancer selected
+	arrival            model.Arrival // the try, routed by the load balancer in front of the gateways
 	message            message
 	inFlight           []*attempt
 	attempts           int
--- a/internal/emulator/virtual/attempt.go
+++ b/internal/emulator/virtual/attempt.go
@@ -138,7 +138,7 @@
 }
 
 // handleConnectionLost reports the broken connection of an attempt to the gateway, after the network delay. A gateway
-// that is partitioned from the endpoint does not learn of it.
+// that a partition separates from the endpoint gets no report.
 func (a *attempt) handleConnectionLost() {
 	w := a.request.gateway.world
 	if a.ended || !w.reachable(a.request.gateway, a.endpoint) {
--- a/internal/emulator/virtual/world_test.go
+++ b/internal/emulator/virtual/world_test.go
@@ -246,14 +246,14 @@
 	}
 }
 
-// Requests that are open at a killed gateway, or arrive before the load balancer detects its end, remain without an
-// answer. Later requests must go to another gateway of the customer.
+// Requests that are open at a killed gateway, or arrive before the load balancer in front of the gateways detects its
+// end, remain without an answer. Later requests must go to another gateway of the customer.
 func TestKilledGatewayLosesItsRequests(t *testing.T) {
 	w := newTestWorld(nil, nil)
 	w.submitAt(0, nil)
 	w.after(50 * time.Millisecond)
 	faultTarget{w.world}.KillGateway(0)
-	w.submitAt(60*time.Millisecond, nil) // the load balancer has not detected the end of the gateway
+	w.submitAt(60*time.Millisecond, nil) // before the load balancer in front of the gateways detects the end
 	w.submitAt(3*time.Second, func(arrival *model.Arrival) { arrival.SetSize = 2 })
 	w.after(4 * time.Second)
 	var answers []emulator.Answer
--- a/internal/experiment/runner_test.go
+++ b/internal/experiment/runner_test.go
@@ -223,7 +223,7 @@
 	}
 }
 
-// Guards against records without a version, which cannot be told apart in the store.
+// Guards against records without a version, because the store could not distinguish the versions that they belong to.
 func TestExecuteRejectsEmptyVersion(t *testing.T) {
 	if _, err := Execute(t.Context(), trialExperiment(1), Options{}); !errors.Is(err, ErrInvalidVersion) {
 		t.Errorf("the error is %v, want ErrInvalidVersion", err)
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -146,7 +146,7 @@
 	return record, nil
 }
 
-// WriteJSONLines writes each record as JSON on a line of its own.
+// WriteJSONLines writes each record as JSON on a separate line.
 func WriteJSONLines(w io.Writer, records []Record) error {
 	encoder := json.NewEncoder(w)
 	for i := range records {
--- a/internal/experiment/virtual.go
+++ b/internal/experiment/virtual.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// runVirtual carries out a run in virtual time. It is a RunFunc.
+// runVirtual carries out a run in virtual time. It implements RunFunc.
 func runVirtual(ctx context.Context, run Run) (measure.Result, invariant.Report, error) {
 	newDecider, err := deciderByName(run.Decider)
 	if err != nil {
--- a/internal/measure/recorder_test.go
+++ b/internal/measure/recorder_test.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// A retry must count neither as a request of its own nor as the start of the latency.
+// A retry must count neither as a separate request nor as the start of the latency.
 func TestRetryBelongsToItsFirstTry(t *testing.T) {
 	run := newTestRun(testScenario())
 	run.submit(0, 1, 1, 1)
