--- a/internal/emulator/loopback/faults_test.go
+++ b/internal/emulator/loopback/faults_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// Gateways must follow discovery to another address and learn there which endpoints drain and which are new.
+// Gateways must use the new address of discovery, and receive the draining and the new endpoints from there.
 func TestGatewaysFollowMovedDiscoveryAndReplacedEndpoints(t *testing.T) {
 	o := runScenario(t, newScenario(4*time.Second,
 		newFault(emulator.FaultDiscoveryMoves, 200*time.Millisecond, 0, 0, 0),
@@ -66,7 +66,7 @@
 func TestEarlyClientDisconnectsAreObserved(t *testing.T) {
 	s := newScenario(2 * time.Second)
 	s.Clients.Abandon = 1
-	s.Endpoints.Cores, s.Endpoints.Slots = 1, 2 // so slow that most clients disconnect before their answer
+	s.Endpoints.Cores, s.Endpoints.Slots = 1, 2 // slow endpoints, so that most clients disconnect before their answer
 	for i := range s.Classes {
 		s.Classes[i].Work *= 8
 	}
--- a/internal/emulator/loopback/world.go
+++ b/internal/emulator/loopback/world.go
@@ -40,8 +40,8 @@
 	requests         map[emulator.RequestKey]*request
 	discoveryDown    bool
 	byteFaultShare   float64       // share of the responses that get a byteFault
-	slowListDuration time.Duration // how long agents take to write a complete list; 0: they write it at once
-	zonePartitions   []int         // by zone: active partitions that separate the zone from the other zones
+	slowListDuration time.Duration // how long agents take to write a complete list; 0 means without delay
+	zonePartitions   []int         // number of active partitions that separate each zone from the others
 	resetShare       float64       // share of the attempts whose connection is reset
 	spoiltShare      float64       // share of the responses that are truncated or followed by an unsolicited one
 	lastObserved     time.Duration // time of the latest observation, so that no later one has an earlier time
@@ -50,9 +50,9 @@
 	notReady          int           // gateways that have never been ready
 	startFailed       chan struct{} // receives an item when a gateway ends before it was ever ready
 	clientConnections int           // client requests that have a connection or are opening one
-	unsettledRequests int           // client requests, sent or scheduled, that have no final outcome yet
+	pendingRequests   int           // client requests, sent or scheduled, that have no final outcome yet
 	loadEnded         bool          // the workload has no further first tries
-	settled           chan struct{} // closed when the load has ended and no request is unsettled
+	runFinished       chan struct{} // closed when the load has ended and no request is pending
 	summary           Summary
 }
 
@@ -96,7 +96,7 @@
 		ready:          make(chan struct{}),
 		notReady:       options.Scenario.Gateways,
 		startFailed:    make(chan struct{}, options.Scenario.Gateways),
-		settled:        make(chan struct{}),
+		runFinished:    make(chan struct{}),
 	}
 	w.ctx, w.cancel = context.WithCancel(ctx)
 	w.discovery = model.NewDiscovery(options.Scenario.Discovery, w.scheduler, model.StreamDiscovery.Random(options.Seed))
@@ -197,7 +197,7 @@
 
 // Close ends the gateway processes and closes all sockets. It returns once no goroutine of the world runs any more.
 func (w *World) Close() {
-	w.cancel()         // also kills the processes
+	w.cancel()         // the end of the context also kills the processes
 	w.scheduler.Stop() // no scheduled function runs after this, so the fields can be read here
 	for _, g := range w.gateways {
 		g.agent.close()
--- a/internal/measure/outcome.go
+++ b/internal/measure/outcome.go
@@ -7,7 +7,7 @@
 	"springfield/policy"
 )
 
-// settleQuota corrects the charged units of a try to its true units at its first successful response.
+// settleQuota corrects the charged units of a try to its true units when the try has its first successful response.
 func (r *Recorder) settleQuota(t *try, o *emulator.AttemptEnded) {
 	if o.Status == policy.StatusOK && t.received && !t.succeeded {
 		t.succeeded = true
@@ -58,22 +58,22 @@
 // served records the latency and the earned value of the first genuine response to a request. Responses to other tries
 // of the request earn nothing.
 func (r *Recorder) served(at time.Duration, t *try, kind outcomeKind) {
-	owner := t.request
-	if owner.outcomeKind == outcomeServed || owner.outcomeKind == outcomeLate {
+	req := t.request
+	if req.outcomeKind == outcomeServed || req.outcomeKind == outcomeLate {
 		return
 	}
-	latency := at - owner.submitted
+	latency := at - req.submitted
 	r.timeline.latency.record(latency)
-	r.forEachGroup(owner, func(g *group) { g.latency.record(latency) })
+	r.forEachGroup(req, func(g *group) { g.latency.record(latency) })
 	if kind == outcomeLate {
 		return
 	}
-	earned := owner.value
+	earned := req.value
 	if !t.inQuota {
-		earned *= r.scenario.Plans[owner.plan].OverQuotaValue
+		earned *= r.scenario.Plans[req.plan].OverQuotaValue
 	}
-	r.forEachGroup(owner, func(g *group) { g.value.addEarned(earned, t.inQuota) })
-	r.timeline.at(owner.submitted).EarnedValue += earned
+	r.forEachGroup(req, func(g *group) { g.value.addEarned(earned, t.inQuota) })
+	r.timeline.at(req.submitted).EarnedValue += earned
 }
 
 func (r *Recorder) disconnected(at time.Duration, key emulator.RequestKey) {
@@ -97,7 +97,7 @@
 	r.removeIfDone(t)
 }
 
-// expireRequests removes the requests that expire by the given time, which may be later than now.
+// expireRequests removes the requests that expire at or before the time by, which may be later than now.
 func (r *Recorder) expireRequests(by, now time.Duration) {
 	for class := range r.open.byClass {
 		for {
--- a/internal/measure/quota.go
+++ b/internal/measure/quota.go
@@ -12,7 +12,7 @@
 // quota determines for each try whether it is inside the quota of its customer, from the true state of the whole
 // deployment.
 type quota struct {
-	settled bool
+	settled bool // the scenario corrects charges to the true units
 	ledger  *model.Ledger
 }
 
@@ -33,9 +33,9 @@
 	}
 }
 
-func (q *quota) attemptReceived(owner *request) { q.ledger.BeginAttempt(owner.customer, owner.plan) }
+func (q *quota) attemptReceived(req *request) { q.ledger.BeginAttempt(req.customer, req.plan) }
 
-func (q *quota) attemptEnded(owner *request) { q.ledger.EndAttempt(owner.customer, owner.plan) }
+func (q *quota) attemptEnded(req *request) { q.ledger.EndAttempt(req.customer, req.plan) }
 
 // singleGateway is a hypothetical gateway that sees all first tries. It admits the requests that are inside the quotas
 // and executes each of them immediately for the mean work of its class, so that the admitted requests do not depend on
@@ -43,7 +43,7 @@
 type singleGateway struct {
 	scenario       *emulator.Scenario
 	ledger         *model.Ledger
-	executingUntil map[policy.CustomerID][]time.Duration // when the execution of each admitted request of a customer ends
+	executingUntil map[policy.CustomerID][]time.Duration // when the executions of a customer's admitted requests end
 }
 
 func newSingleGateway(scenario *emulator.Scenario) *singleGateway {
