--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -46,7 +46,7 @@
 }
 
 // AdmitAll returns a decider that admits every request and picks an endpoint at random.
-func AdmitAll(cfg policy.Config, actions policy.Actions, _ emulator.Truth) emulator.Decider {
+func AdmitAll(cfg policy.Config, actions policy.Actions, _ emulator.GroundTruth) emulator.Decider {
 	g := newBaseDecider(cfg, actions)
 	g.admit = func(time.Duration, *request) bool { return true }
 	g.choose = func(_ *request, candidates []*endpoint) *endpoint {
@@ -57,7 +57,7 @@
 
 // EvenSplit returns a decider that gives each gateway of a customer an equal part of the customer's quota, as a token
 // bucket. It picks the less loaded of two random endpoints.
-func EvenSplit(cfg policy.Config, actions policy.Actions, _ emulator.Truth) emulator.Decider {
+func EvenSplit(cfg policy.Config, actions policy.Actions, _ emulator.GroundTruth) emulator.Decider {
 	g := newBaseDecider(cfg, actions)
 	split := newEvenSplit(&g.cfg)
 	g.admit = split.admit
@@ -67,17 +67,19 @@
 
 // LateOracle returns a decider that sees the true quotas and backlogs as they were a second ago. Of two random
 // endpoints it picks the one that had the shorter backlog.
-func LateOracle(cfg policy.Config, actions policy.Actions, truth emulator.Truth) emulator.Decider {
-	return newOracle(cfg, actions, truth, lateOracleAge)
+func LateOracle(cfg policy.Config, actions policy.Actions, groundTruth emulator.GroundTruth) emulator.Decider {
+	return newOracle(cfg, actions, groundTruth, lateOracleAge)
 }
 
 // InstantOracle returns a decider that sees the present true quotas and backlogs. No real gateway can reach the service
 // that it provides.
-func InstantOracle(cfg policy.Config, actions policy.Actions, truth emulator.Truth) emulator.Decider {
-	return newOracle(cfg, actions, truth, 0)
+func InstantOracle(cfg policy.Config, actions policy.Actions, groundTruth emulator.GroundTruth) emulator.Decider {
+	return newOracle(cfg, actions, groundTruth, 0)
 }
 
-func newOracle(cfg policy.Config, actions policy.Actions, truth emulator.Truth, age time.Duration) emulator.Decider {
+func newOracle(
+	cfg policy.Config, actions policy.Actions, groundTruth emulator.GroundTruth, age time.Duration,
+) emulator.Decider {
 	g := newBaseDecider(cfg, actions)
 	g.admit = func(_ time.Duration, r *request) bool {
 		if r.Plan < 0 || r.Plan >= len(g.cfg.Plans) || g.cfg.Plans[r.Plan].QuotaRate <= 0 {
@@ -85,7 +87,7 @@
 		}
 		plan := &g.cfg.Plans[r.Plan]
 		earnsOverQuota := plan.OverQuotaValue > plan.OverQuotaCost
-		return earnsOverQuota || truth.QuotaLeft(r.Customer, r.Plan, age) >= r.Units
+		return earnsOverQuota || groundTruth.QuotaLeft(r.Customer, r.Plan, age) >= r.Units
 	}
 	g.choose = func(_ *request, candidates []*endpoint) *endpoint {
 		if age > 0 {
@@ -93,18 +95,18 @@
 			// together.
 			candidates = g.sampleTwo(candidates)
 		}
-		return leastBacklog(candidates, truth, age)
+		return leastBacklog(candidates, groundTruth, age)
 	}
 	return g
 }
 
 // leastBacklog returns the endpoint with the shortest backlog. Of equal ones it returns the one with fewer attempts of
 // this gateway in flight.
-func leastBacklog(candidates []*endpoint, truth emulator.Truth, age time.Duration) *endpoint {
+func leastBacklog(candidates []*endpoint, groundTruth emulator.GroundTruth, age time.Duration) *endpoint {
 	var best *endpoint
 	var shortest time.Duration
 	for _, candidate := range candidates {
-		backlog := truth.Backlog(candidate.ID, age)
+		backlog := groundTruth.Backlog(candidate.ID, age)
 		if best == nil || backlog < shortest || backlog == shortest && candidate.inFlight < best.inFlight {
 			best, shortest = candidate, backlog
 		}
--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -105,15 +105,15 @@
 	} {
 		gateway := startGateway(oracle.newDecider, testConfig(), 3)
 		gateway.submit(1, idempotentClass, quotaPlan, 1)
-		gateway.truth.quotaLeft = 1.5
+		gateway.groundTruth.quotaLeft = 1.5
 		gateway.submit(2, idempotentClass, quotaPlan, 2)
 		gateway.expect(t, name+" with too little quota", 1, 1, 0)
 		gateway.submit(3, idempotentClass, quotaPlan, 1)
 		gateway.submit(4, idempotentClass, overQuotaPlan, 2)
 		gateway.submit(5, idempotentClass, unlimitedPlan, 2)
 		gateway.expect(t, name+" with enough quota, or where requests over quota earn value", 4, 1, 0)
-		if want := map[time.Duration]bool{oracle.age: true}; !maps.Equal(gateway.truth.ages, want) {
-			t.Errorf("%s: asked for ages %v, want %v", name, gateway.truth.ages, want)
+		if want := map[time.Duration]bool{oracle.age: true}; !maps.Equal(gateway.groundTruth.ages, want) {
+			t.Errorf("%s: asked for ages %v, want %v", name, gateway.groundTruth.ages, want)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 		"instant": {InstantOracle, map[policy.EndpointID]int{2: requests}},
 	} {
 		gateway := startGateway(oracle.newDecider, testConfig(), 3)
-		gateway.truth.backlogs = map[policy.EndpointID]time.Duration{1: 3, 2: 1, 3: 2}
+		gateway.groundTruth.backlogs = map[policy.EndpointID]time.Duration{1: 3, 2: 1, 3: 2}
 		counts := map[policy.EndpointID]int{}
 		for id := policy.RequestID(1); id <= requests; id++ {
 			gateway.submit(id, idempotentClass, unlimitedPlan, 1)
--- a/internal/baseline/harness_test.go
+++ b/internal/baseline/harness_test.go
@@ -42,40 +42,42 @@
 	}
 }
 
-// fakeTruth is an emulator.Truth whose values a test sets. It records the ages that it is asked for.
-type fakeTruth struct {
+// fakeGroundTruth is an emulator.GroundTruth whose values a test sets. It records the ages that it is asked for.
+type fakeGroundTruth struct {
 	backlogs  map[policy.EndpointID]time.Duration
 	quotaLeft float64
 	ages      map[time.Duration]bool
 }
 
-func newFakeTruth() *fakeTruth {
-	return &fakeTruth{backlogs: map[policy.EndpointID]time.Duration{}, quotaLeft: 1e6, ages: map[time.Duration]bool{}}
+func newFakeGroundTruth() *fakeGroundTruth {
+	return &fakeGroundTruth{
+		backlogs: map[policy.EndpointID]time.Duration{}, quotaLeft: 1e6, ages: map[time.Duration]bool{},
+	}
 }
 
-// Backlog implements emulator.Truth.
-func (f *fakeTruth) Backlog(endpoint policy.EndpointID, age time.Duration) time.Duration {
+// Backlog implements emulator.GroundTruth.
+func (f *fakeGroundTruth) Backlog(endpoint policy.EndpointID, age time.Duration) time.Duration {
 	f.ages[age] = true
 	return f.backlogs[endpoint]
 }
 
-// QuotaLeft implements emulator.Truth.
-func (f *fakeTruth) QuotaLeft(_ policy.CustomerID, _ int, age time.Duration) float64 {
+// QuotaLeft implements emulator.GroundTruth.
+func (f *fakeGroundTruth) QuotaLeft(_ policy.CustomerID, _ int, age time.Duration) float64 {
 	f.ages[age] = true
 	return f.quotaLeft
 }
 
 // fakeGateway drives a decider and records its decisions.
 type fakeGateway struct {
-	decider   emulator.Decider
-	truth     *fakeTruth
-	now       time.Duration
-	forwarded []forwardedAttempt
-	rejected  []policy.RequestID
-	failed    []policy.RequestID
-	cancelled []policy.RequestID
-	timers    []policy.Timer
-	watches   int
+	decider     emulator.Decider
+	groundTruth *fakeGroundTruth
+	now         time.Duration
+	forwarded   []forwardedAttempt
+	rejected    []policy.RequestID
+	failed      []policy.RequestID
+	cancelled   []policy.RequestID
+	timers      []policy.Timer
+	watches     int
 }
 
 type forwardedAttempt struct {
@@ -86,8 +88,8 @@
 
 // startGateway returns a gateway with a started decider and warm endpoints 1 to count, in zones 0 and 1 alternately.
 func startGateway(newDecider emulator.NewDecider, cfg policy.Config, count int) *fakeGateway {
-	r := &fakeGateway{truth: newFakeTruth(), now: time.Hour}
-	r.decider = newDecider(cfg, r, r.truth)
+	r := &fakeGateway{groundTruth: newFakeGroundTruth(), now: time.Hour}
+	r.decider = newDecider(cfg, r, r.groundTruth)
 	r.decider.Start(r.now)
 	var list []policy.Endpoint
 	for id := 1; id <= count; id++ {
--- a/internal/emulator/decider.go
+++ b/internal/emulator/decider.go
@@ -20,8 +20,8 @@
 
 var _ Decider = (*policy.Engine)(nil)
 
-// Truth provides the true state of a deployment, which no real gateway can see. Only the oracle baselines use it.
-type Truth interface {
+// GroundTruth provides the true state of a deployment, which no real gateway can see. Only the oracle baselines use it.
+type GroundTruth interface {
 	// Backlog returns the time after which an endpoint is expected to begin a new request. An age above zero asks for
 	// the value of that long ago.
 	Backlog(endpoint policy.EndpointID, age time.Duration) time.Duration
@@ -31,4 +31,4 @@
 }
 
 // NewDecider creates the decider of one gateway. The decider carries its decisions out through actions.
-type NewDecider func(cfg policy.Config, actions policy.Actions, truth Truth) Decider
+type NewDecider func(cfg policy.Config, actions policy.Actions, groundTruth GroundTruth) Decider
--- a/internal/emulator/invariant/endpoints.go
+++ b/internal/emulator/invariant/endpoints.go
@@ -51,8 +51,8 @@
 	if !c.hasScopedKeys() {
 		return newDecider
 	}
-	return func(cfg policy.Config, actions policy.Actions, truth emulator.Truth) emulator.Decider {
-		return &listObserver{Decider: newDecider(cfg, actions, truth), checker: c}
+	return func(cfg policy.Config, actions policy.Actions, groundTruth emulator.GroundTruth) emulator.Decider {
+		return &listObserver{Decider: newDecider(cfg, actions, groundTruth), checker: c}
 	}
 }
 
--- a/internal/emulator/invariant/faulty_gateway_test.go
+++ b/internal/emulator/invariant/faulty_gateway_test.go
@@ -122,15 +122,15 @@
 	actions policy.Actions
 }
 
-func wrapEngine(cfg policy.Config, actions policy.Actions, truth emulator.Truth) engineWrapper {
-	return engineWrapper{Decider: virtual.PolicyDecider(cfg, actions, truth), actions: actions}
+func wrapEngine(cfg policy.Config, actions policy.Actions, groundTruth emulator.GroundTruth) engineWrapper {
+	return engineWrapper{Decider: virtual.PolicyDecider(cfg, actions, groundTruth), actions: actions}
 }
 
 // ignoringRequests ignores one request in 50, which therefore gets no answer.
 type ignoringRequests struct{ engineWrapper }
 
-func newIgnoringRequests(cfg policy.Config, actions policy.Actions, truth emulator.Truth) emulator.Decider {
-	return ignoringRequests{wrapEngine(cfg, actions, truth)}
+func newIgnoringRequests(cfg policy.Config, actions policy.Actions, groundTruth emulator.GroundTruth) emulator.Decider {
+	return ignoringRequests{wrapEngine(cfg, actions, groundTruth)}
 }
 
 func (d ignoringRequests) Submit(now time.Duration, request policy.Request) {
@@ -142,8 +142,8 @@
 // unsafeRetrying retries every failed request once at the same endpoint, even if it may have been executed.
 type unsafeRetrying struct{ engineWrapper }
 
-func newUnsafeRetrying(cfg policy.Config, actions policy.Actions, truth emulator.Truth) emulator.Decider {
-	return unsafeRetrying{wrapEngine(cfg, actions, truth)}
+func newUnsafeRetrying(cfg policy.Config, actions policy.Actions, groundTruth emulator.GroundTruth) emulator.Decider {
+	return unsafeRetrying{wrapEngine(cfg, actions, groundTruth)}
 }
 
 func (d unsafeRetrying) AttemptFinished(now time.Duration, result policy.AttemptResult) {
@@ -159,19 +159,19 @@
 }
 
 // newIgnoringKeyScope returns an engine that assumes that all endpoints share their idempotency keys.
-func newIgnoringKeyScope(cfg policy.Config, actions policy.Actions, truth emulator.Truth) emulator.Decider {
+func newIgnoringKeyScope(cfg policy.Config, actions policy.Actions, groundTruth emulator.GroundTruth) emulator.Decider {
 	cfg.Classes = slices.Clone(cfg.Classes)
 	for i := range cfg.Classes {
 		cfg.Classes[i].KeyScope = policy.KeyScopeFleet
 	}
-	return virtual.PolicyDecider(cfg, actions, truth)
+	return virtual.PolicyDecider(cfg, actions, groundTruth)
 }
 
 // unsafeRejecting rejects every failed request, even if it may have been executed.
 type unsafeRejecting struct{ engineWrapper }
 
-func newUnsafeRejecting(cfg policy.Config, actions policy.Actions, truth emulator.Truth) emulator.Decider {
-	return unsafeRejecting{wrapEngine(cfg, actions, truth)}
+func newUnsafeRejecting(cfg policy.Config, actions policy.Actions, groundTruth emulator.GroundTruth) emulator.Decider {
+	return unsafeRejecting{wrapEngine(cfg, actions, groundTruth)}
 }
 
 func (d unsafeRejecting) AttemptFinished(now time.Duration, result policy.AttemptResult) {
@@ -186,8 +186,8 @@
 // is twice the engine's.
 type duplicating struct{ emulator.Decider }
 
-func newDuplicating(cfg policy.Config, actions policy.Actions, truth emulator.Truth) emulator.Decider {
-	return duplicating{virtual.PolicyDecider(cfg, duplicatingActions{actions}, truth)}
+func newDuplicating(cfg policy.Config, actions policy.Actions, groundTruth emulator.GroundTruth) emulator.Decider {
+	return duplicating{virtual.PolicyDecider(cfg, duplicatingActions{actions}, groundTruth)}
 }
 
 func (d duplicating) AttemptFinished(now time.Duration, result policy.AttemptResult) {
@@ -215,9 +215,11 @@
 	newest *newestEndpointActions
 }
 
-func newIgnoringSlowStart(cfg policy.Config, actions policy.Actions, truth emulator.Truth) emulator.Decider {
+func newIgnoringSlowStart(
+	cfg policy.Config, actions policy.Actions, groundTruth emulator.GroundTruth,
+) emulator.Decider {
 	newest := &newestEndpointActions{Actions: actions}
-	return ignoringSlowStart{Decider: virtual.PolicyDecider(cfg, newest, truth), newest: newest}
+	return ignoringSlowStart{Decider: virtual.PolicyDecider(cfg, newest, groundTruth), newest: newest}
 }
 
 func (d ignoringSlowStart) UpdateEndpoints(now time.Duration, kind policy.UpdateKind, list []policy.Endpoint) {
@@ -243,12 +245,12 @@
 }
 
 // newIgnoringCeiling returns an engine whose plans have no ceiling.
-func newIgnoringCeiling(cfg policy.Config, actions policy.Actions, truth emulator.Truth) emulator.Decider {
+func newIgnoringCeiling(cfg policy.Config, actions policy.Actions, groundTruth emulator.GroundTruth) emulator.Decider {
 	cfg.Plans = slices.Clone(cfg.Plans)
 	for i := range cfg.Plans {
 		cfg.Plans[i].CeilingRate = 0
 	}
-	return virtual.PolicyDecider(cfg, actions, truth)
+	return virtual.PolicyDecider(cfg, actions, groundTruth)
 }
 
 // observerFunc is a function that implements emulator.Observer.
--- a/internal/emulator/virtual/decider.go
+++ b/internal/emulator/virtual/decider.go
@@ -6,6 +6,6 @@
 )
 
 // PolicyDecider creates the policy engine that real gateways run. It is an emulator.NewDecider.
-func PolicyDecider(cfg policy.Config, actions policy.Actions, _ emulator.Truth) emulator.Decider {
+func PolicyDecider(cfg policy.Config, actions policy.Actions, _ emulator.GroundTruth) emulator.Decider {
 	return policy.New(cfg, actions)
 }
--- a/internal/emulator/virtual/endpoint.go
+++ b/internal/emulator/virtual/endpoint.go
@@ -26,7 +26,7 @@
 	e.server = model.NewScenarioServer(w.scenario, e.id, zone, cell, startedAt, w.scheduler, w.serverRandom)
 	e.server.OnOverload = func(informedShare float64) { w.endpointOverloaded(e, informedShare) }
 	w.endpoints = append(w.endpoints, e)
-	w.truth.addEndpoint()
+	w.groundTruth.addEndpoint()
 	warming := startedAt > 0 && w.scenario.WarmUp.Duration > 0
 	w.observe(emulator.EndpointStarted{Endpoint: e.id, Warming: warming})
 	w.publish(e, policy.StateReady)
--- a/internal/emulator/virtual/gateway.go
+++ b/internal/emulator/virtual/gateway.go
@@ -76,7 +76,7 @@
 	g.requests, g.views = map[policy.RequestID]*request{}, nil
 	config := g.config
 	config.Seed = w.gatewayRandom.Uint64()
-	g.decider = w.newDecider(config, actions{g}, w.truth)
+	g.decider = w.newDecider(config, actions{g}, w.groundTruth)
 	w.observe(emulator.GatewayStarted{Gateway: g.number})
 	g.decider.Start(w.scheduler.Now())
 	g.updateEndpoints(policy.UpdateCached, list)
--- a/internal/emulator/virtual/truth.go
+++ b/internal/emulator/virtual/ground_truth.go
@@ -18,16 +18,16 @@
 	backlogSamples = int(historyLength/backlogInterval) + 1 // the samples at both ends of the history included
 )
 
-// truth gives oracles the true state of the deployment. It records past states only after an oracle has first asked for
-// one.
-type truth struct {
+// groundTruth gives oracles the true state of the deployment. It records past states only after an oracle has first
+// asked for one.
+type groundTruth struct {
 	world     *world
 	recording bool
 	backlogs  []backlogHistory // the entry at index i belongs to the endpoint with ID i + 1
 	quotas    map[policy.CustomerID]*quotaHistory
 }
 
-var _ emulator.Truth = (*truth)(nil)
+var _ emulator.GroundTruth = (*groundTruth)(nil)
 
 // backlogHistory is a ring buffer of the latest samples of an endpoint's backlog.
 type backlogHistory struct {
@@ -43,14 +43,14 @@
 	unitsLeft  float64
 }
 
-func newTruth(w *world) *truth {
-	return &truth{world: w, quotas: map[policy.CustomerID]*quotaHistory{}}
+func newGroundTruth(w *world) *groundTruth {
+	return &groundTruth{world: w, quotas: map[policy.CustomerID]*quotaHistory{}}
 }
 
-func (t *truth) addEndpoint() { t.backlogs = append(t.backlogs, backlogHistory{}) }
+func (t *groundTruth) addEndpoint() { t.backlogs = append(t.backlogs, backlogHistory{}) }
 
-// Backlog implements emulator.Truth. An age beyond the recorded history returns the oldest sample.
-func (t *truth) Backlog(id policy.EndpointID, age time.Duration) time.Duration {
+// Backlog implements emulator.GroundTruth. An age beyond the recorded history returns the oldest sample.
+func (t *groundTruth) Backlog(id policy.EndpointID, age time.Duration) time.Duration {
 	e := t.world.endpoint(id)
 	if e == nil {
 		return 0
@@ -67,7 +67,7 @@
 }
 
 // startRecording starts the recording of past states unless it has started already.
-func (t *truth) startRecording() {
+func (t *groundTruth) startRecording() {
 	if t.recording {
 		return
 	}
@@ -75,7 +75,7 @@
 	t.sampleBacklogs()
 }
 
-func (t *truth) sampleBacklogs() {
+func (t *groundTruth) sampleBacklogs() {
 	for i := range t.backlogs {
 		history := &t.backlogs[i]
 		history.samples[history.count%backlogSamples] = t.world.endpoints[i].server.Backlog()
@@ -84,8 +84,8 @@
 	t.world.scheduler.After(backlogInterval, t.sampleBacklogs)
 }
 
-// QuotaLeft implements emulator.Truth.
-func (t *truth) QuotaLeft(customer policy.CustomerID, plan int, age time.Duration) float64 {
+// QuotaLeft implements emulator.GroundTruth.
+func (t *groundTruth) QuotaLeft(customer policy.CustomerID, plan int, age time.Duration) float64 {
 	now := t.world.scheduler.Now()
 	if age <= 0 {
 		return t.world.ledger.Left(now, customer, plan)
@@ -106,7 +106,7 @@
 }
 
 // recordQuota records the units that a customer has left after a use of its quota.
-func (t *truth) recordQuota(customer policy.CustomerID, plan int) {
+func (t *groundTruth) recordQuota(customer policy.CustomerID, plan int) {
 	if !t.recording {
 		return
 	}
--- a/internal/emulator/virtual/request.go
+++ b/internal/emulator/virtual/request.go
@@ -171,7 +171,7 @@
 	now, arrival := w.scheduler.Now(), &r.arrival
 	w.ledger.Take(now, arrival.Customer, arrival.Plan, arrival.Units)
 	w.meter.Record(now, arrival.Customer, arrival.Units)
-	w.truth.recordQuota(arrival.Customer, arrival.Plan)
+	w.groundTruth.recordQuota(arrival.Customer, arrival.Plan)
 }
 
 // settleUnits corrects the charged units of a request, which were an estimate, to the true units. Only the first call
@@ -184,5 +184,5 @@
 	r.unitsSettled = true
 	w.ledger.Settle(r.arrival.Customer, r.arrival.Plan, difference)
 	w.meter.Record(w.scheduler.Now(), r.arrival.Customer, difference)
-	w.truth.recordQuota(r.arrival.Customer, r.arrival.Plan)
+	w.groundTruth.recordQuota(r.arrival.Customer, r.arrival.Plan)
 }
--- a/internal/emulator/virtual/world.go
+++ b/internal/emulator/virtual/world.go
@@ -17,14 +17,14 @@
 	observer   emulator.Observer
 	scheduler  *emulator.VirtualScheduler
 
-	workload  *model.Workload
-	network   *model.Network
-	meter     *model.Meter
-	ledger    *model.Ledger
-	discovery *model.Discovery
-	truth     *truth
-	endpoints []*endpoint // endpoint IDs start at 1: endpoints[0] has ID 1
-	gateways  []*gateway
+	workload    *model.Workload
+	network     *model.Network
+	meter       *model.Meter
+	ledger      *model.Ledger
+	discovery   *model.Discovery
+	groundTruth *groundTruth
+	endpoints   []*endpoint // endpoint IDs start at 1: endpoints[0] has ID 1
+	gateways    []*gateway
 
 	serverRandom  *rand.Rand
 	gatewayRandom *rand.Rand
@@ -64,7 +64,7 @@
 	w.workload = model.NewWorkload(scenario, options.Seed, StartTime)
 	w.discovery = model.NewDiscovery(scenario.Discovery, w.scheduler, model.StreamDiscovery.Random(options.Seed))
 	w.discovery.OnOverdue = func(gateway int, list []policy.Endpoint) { w.gateways[gateway].countAsNotified(list) }
-	w.truth = newTruth(w)
+	w.groundTruth = newGroundTruth(w)
 	for number := range scenario.Endpoints.Count {
 		w.addEndpoint(model.ZoneOf(scenario, number), model.CellOf(scenario, number), 0)
 	}
--- a/internal/emulator/virtual/world_test.go
+++ b/internal/emulator/virtual/world_test.go
@@ -56,8 +56,8 @@
 		configure(&scenario)
 	}
 	if newDecider == nil {
-		newDecider = func(cfg policy.Config, actions policy.Actions, truth emulator.Truth) emulator.Decider {
-			decider := &firstEndpointDecider{Decider: PolicyDecider(cfg, actions, truth), actions: actions}
+		newDecider = func(cfg policy.Config, actions policy.Actions, groundTruth emulator.GroundTruth) emulator.Decider {
+			decider := &firstEndpointDecider{Decider: PolicyDecider(cfg, actions, groundTruth), actions: actions}
 			if cfg.GatewayIndex == 0 {
 				w.decider = decider
 			}
@@ -291,25 +291,27 @@
 }
 
 // The state that an oracle sees must be exactly as old as the oracle asks for.
-func TestTruthReportsStateOfGivenAge(t *testing.T) {
+func TestGroundTruthReportsStateOfGivenAge(t *testing.T) {
 	w := newTestWorld(nil, nil)
-	w.truth.Backlog(1, time.Second) // starts the recording of past states
+	w.groundTruth.Backlog(1, time.Second) // starts the recording of past states
 	for range 20 {
 		w.submitAt(time.Second, nil)
 	}
 	w.after(1100 * time.Millisecond)
-	if now, before := w.truth.Backlog(1, 0), w.truth.Backlog(1, time.Second); now < 100*time.Millisecond || before != 0 {
+	if now, before := w.groundTruth.Backlog(1, 0), w.groundTruth.Backlog(1, time.Second); now < 100*time.Millisecond ||
+		before != 0 {
 		t.Errorf("the backlog is %v and was %v a second ago, want at least 100ms and 0", now, before)
 	}
 	burst := w.scenario.Plans[0].Burst
-	if now, before := w.truth.QuotaLeft(1, 0, 0), w.truth.QuotaLeft(1, 0, time.Second); now >= burst || before != burst {
+	if now, before := w.groundTruth.QuotaLeft(1, 0, 0), w.groundTruth.QuotaLeft(1, 0, time.Second); now >= burst ||
+		before != burst {
 		t.Errorf("%v units are left and %v were a second ago, want fewer than the burst, and the burst", now, before)
 	}
 	w.after(2150 * time.Millisecond)
-	if before := w.truth.Backlog(1, time.Second); before < 100*time.Millisecond {
+	if before := w.groundTruth.Backlog(1, time.Second); before < 100*time.Millisecond {
 		t.Errorf("the backlog was %v a second ago, want at least 100ms", before)
 	}
-	if before := w.truth.QuotaLeft(1, 0, time.Second); before >= burst {
+	if before := w.groundTruth.QuotaLeft(1, 0, time.Second); before >= burst {
 		t.Errorf("%v units were left a second ago, want less than the burst", before)
 	}
 }
@@ -329,8 +331,8 @@
 	summary, err := Run(t.Context(), Options{
 		Scenario: scenario,
 		Observer: checker,
-		NewDecider: func(cfg policy.Config, actions policy.Actions, truth emulator.Truth) emulator.Decider {
-			return PolicyDecider(cfg, duplicatingActions{actions}, truth)
+		NewDecider: func(cfg policy.Config, actions policy.Actions, groundTruth emulator.GroundTruth) emulator.Decider {
+			return PolicyDecider(cfg, duplicatingActions{actions}, groundTruth)
 		},
 	})
 	if err != nil {
--- a/internal/eventloop/actions.go
+++ b/internal/eventloop/actions.go
@@ -29,7 +29,7 @@
 	}
 	target := l.endpoints[endpoint]
 	if allowed, reason := c.attemptAllowed(l.now, &l.classes[c.request.Class]); !allowed {
-		invariant.Violated(invariant.Repeating, c.id, reason)
+		invariant.RecordViolation(invariant.Repeating, c.id, reason)
 		target = nil // an attempt without an endpoint is not sent
 	}
 	c.attempt = &attempt{
--- a/internal/eventloop/events.go
+++ b/internal/eventloop/events.go
@@ -20,7 +20,7 @@
 // stopped, the call is rejected.
 func (l *Loop) Submit(c *Call) {
 	if !l.post(callSubmitted{c}) {
-		invariant.Violated(invariant.Starting, c.id, "the event loop has stopped")
+		invariant.RecordViolation(invariant.Starting, c.id, "the event loop has stopped")
 		c.commands <- Reject{}
 	}
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -55,9 +55,9 @@
 	return l
 }
 
-// Decisions returns how often the engine has decided for each reason, as attributes of a log line. It blocks until Run
-// has returned.
-func (l *Loop) Decisions() []any {
+// DecisionCounts returns how often the engine has decided for each reason, as attributes of a log line. It blocks until
+// Run has returned.
+func (l *Loop) DecisionCounts() []any {
 	<-l.stopped
 	var attributes []any
 	for _, counted := range l.engine.ReasonCounts() {
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -197,7 +197,7 @@
 // connection has not been answered.
 func (c *clientConn) Close() error {
 	if c.unansweredID != "" {
-		invariant.Violated(invariant.Closing, c.unansweredID, "the connection closes before the request is answered")
+		invariant.RecordViolation(invariant.Closing, c.unansweredID, "the connection closes before the request is answered")
 	}
 	if c.limiter.remove(c) {
 		counters.Count(c.closeEvent, "")
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -64,7 +64,7 @@
 	receivedAt := h.clock.Now()
 	conn := connectionOf(r)
 	if conn != nil && !conn.beginRequest(bodyLength(r)) {
-		invariant.Violated(invariant.Starting, r.Header.Get("Req-Id"), "the request starts on a closed connection")
+		invariant.RecordViolation(invariant.Starting, r.Header.Get("Req-Id"), "the request starts on a closed connection")
 		panic(http.ErrAbortHandler)
 	}
 	if err := checkFraming(r); err != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -106,7 +106,7 @@
 
 // logSummary logs the counters and decision totals at the end of the process.
 func logSummary(loop *eventloop.Loop) {
-	attributes := append(counters.Summary(), loop.Decisions()...)
+	attributes := append(counters.Summary(), loop.DecisionCounts()...)
 	slog.Info("summary", append(attributes, "violations", invariant.Total())...)
 }
 
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -13,10 +13,10 @@
 	// connections still arrive after SIGTERM.
 	drainDelay = 500 * time.Millisecond
 
-	// maxDrainDeadline limits how long requests may take in a drain. After SIGTERM the process may be killed once the
+	// maxDrainDuration limits how long requests may take in a drain. After SIGTERM the process may be killed once the
 	// longest request deadline plus 0.7 s have passed, where the protocol counts a deadline of more than 3 s as 3 s.
 	// After drainDelay and exitMargin 0.1 s of the 0.7 s is left.
-	maxDrainDeadline = 3 * time.Second
+	maxDrainDuration = 3 * time.Second
 
 	// exitMargin is the time for the last responses to reach their clients.
 	exitMargin = 100 * time.Millisecond
@@ -31,7 +31,7 @@
 	delay := cmp.Or(opts.drainDelay, drainDelay)
 	startedAt := time.Now()
 	parts.server.BeginDrain()
-	answerDeadline := startedAt.Add(delay + min(longestDeadline, maxDrainDeadline))
+	answerDeadline := startedAt.Add(delay + min(longestDeadline, maxDrainDuration))
 	parts.loop.BeginShutdown(parts.clock.FromTime(answerDeadline))
 	time.Sleep(delay)
 	// Connections in the accept queue of the operating system are accepted before the listener is closed.
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -46,8 +46,8 @@
 // PanicOnViolation makes each violation panic. Tests enable it.
 func PanicOnViolation() { panicOnViolation.Store(true) }
 
-// Violated counts and logs a violation. It panics if PanicOnViolation has been called.
-func Violated(rule Rule, requestID, detail string) {
+// RecordViolation counts and logs a violation. It panics if PanicOnViolation has been called.
+func RecordViolation(rule Rule, requestID, detail string) {
 	counts[rule].Add(1)
 	violation := &Violation{Rule: rule, RequestID: requestID, Detail: detail}
 	slog.Error("invariant violated", "rule", rule.String(), "request", requestID, "detail", detail)
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -21,5 +21,5 @@
 			t.Error("the violation is not counted")
 		}
 	}()
-	invariant.Violated(invariant.Closing, "a", "violation of the test")
+	invariant.RecordViolation(invariant.Closing, "a", "violation of the test")
 }
