--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,8 +6,8 @@
 const maxQueueDelayShare = 0.5
 
 // admit decides on a new request by the limit on open requests, the quota, the ceiling and the pacing delay.
-// An admitted request is dispatched, now or after its delay. Plans whose usage over quota earns more than it
-// costs are held to the quota only under overload.
+// An admitted request is dispatched, now or after its delay. The quota of a plan whose usage over quota earns
+// more than it costs is enforced only under overload.
 func (e *Engine) admit(now time.Duration, r *request) {
 	e.updateCustomer(now, r.customer)
 	e.overuse.recordRequest(r)
@@ -40,8 +40,9 @@
 }
 
 // admissionDelay is how long a request must be queued: until this gateway's share of the ceiling covers it,
-// and under overload for the pacing delay of the paper. Where the plan has a ceiling, admission is possible
-// only at the gateways that serve the customer, since only they have a share of the ceiling.
+// and under overload, for a customer over its quota, for the pacing delay. Where the plan has a ceiling,
+// admission is possible only at the gateways that serve the customer, since only they have a share of the
+// ceiling.
 func (e *Engine) admissionDelay(now time.Duration, r *request) (delay time.Duration, possible bool) {
 	c := r.customer
 	if c.plan.CeilingRate > 0 {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Guards against holding or rejecting a request of a customer within its quota while there is no overload.
+// Guards against delaying or rejecting a request of a customer within its quota while there is no overload.
 func TestRequestWithinQuotaIsForwardedAtOnce(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 3)
 	gateway.submit(1, idempotentClass, costlyPlan, 1)
@@ -21,7 +21,7 @@
 }
 
 // exceedQuotaUnderOverload sets the engine's state to overloaded and the customer of costlyPlan to over its quota.
-// The peak usage is so high that its term in the hold formula vanishes and the quota alone sets the hold time.
+// The peak usage is so high that its term in the pacing formula vanishes and the quota alone sets the pacing delay.
 func exceedQuotaUnderOverload(gateway *testGateway) {
 	engine := gateway.engine
 	gateway.submit(1, idempotentClass, costlyPlan, 1)
@@ -31,9 +31,9 @@
 	engine.bandwidth.anyActiveUnderQuota, engine.bandwidth.peakUsage = true, 1e9
 }
 
-// Under overload, requests over quota are spaced out at the quota's rate, and rejected if that would hold them for
-// more than half of the latency objective.
-func TestHeldRequestsAreReleasedInTurn(t *testing.T) {
+// Under overload, requests over quota are released one by one at the quota's rate, and rejected if that would delay
+// them by more than half of the latency objective.
+func TestDelayedRequestsAreReleasedInTurn(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 3)
 	exceedQuotaUnderOverload(gateway)
 	for id := RequestID(2); id <= 4; id++ {
@@ -43,8 +43,8 @@
 		t.Fatalf("forwarded under overload and over quota: %v", gateway.log)
 	}
 	gateway.advanceTo(time.Second)
-	// Each request is held for 0.1 s after the previous one. The third would be held for 0.3 s, which exceeds half of
-	// the objective of 0.5 s.
+	// Each request is released 0.1 s after the previous one. The third would be delayed by 0.3 s, which exceeds half
+	// of the objective of 0.5 s.
 	want := []forwardedAttempt{
 		{request: 2, at: 100 * time.Millisecond},
 		{request: 3, at: 200 * time.Millisecond},
@@ -56,7 +56,7 @@
 		}
 	}
 	if !reflect.DeepEqual(gateway.rejected, []RequestID{4}) {
-		t.Errorf("rejected %v, want only request 4, whose hold is too long", gateway.rejected)
+		t.Errorf("rejected %v, want only request 4, whose delay is too long", gateway.rejected)
 	}
 }
 
@@ -108,7 +108,7 @@
 }
 
 // Many customers send a single request. The ceiling bucket of a new customer counts as filling since the gateway's
-// start, so that its first request is not held. The ceiling is still kept.
+// start, so that its first request is not delayed. The ceiling is still respected.
 func TestNewCustomerCeilingFillsFromGatewayStart(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 3)
 	gateway.advanceTo(time.Minute)
--- a/policy/first_start_test.go
+++ b/policy/cold_start_test.go
@@ -123,8 +123,8 @@
 	return worstRatio
 }
 
-// slowStartBound returns the most attempts in a window that the operators accept for a budget of n. The margin beyond
-// the budget covers random variation of the arrivals.
+// slowStartBound returns the most attempts in a window that the operators' slow-start rule accepts for a budget of n.
+// The margin beyond the budget covers random variation of the arrivals.
 func slowStartBound(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// customer is the state of a customer at this gateway (paper, Table I).
+// customer is the state of a customer at this gateway, as in Table I of Li and Jamin.
 type customer struct {
 	id          CustomerID
 	plan        *Plan
@@ -16,11 +16,11 @@
 	meteredRate float64       // last reading of the usage over all gateways, in units per second
 	meteredAt   time.Duration // arrival of the last reading
 	avgUsageAt  time.Duration // time up to which readings are included in avgUsage
-	avgUsage    float64       // smoothed usage over all gateways, in units per second; b̂ of the paper
+	avgUsage    float64       // smoothed usage over all gateways, in units per second; b̂ of Li and Jamin
 
 	updatedAt          time.Duration // time up to which the averages and buckets are updated
 	meteredBucket      tokenBucket   // quota left over all gateways, drained by metered usage
-	gatewayBucket      tokenBucket   // this gateway's observed share of the quota, drained by its units
+	gatewayBucket      tokenBucket   // this gateway's share of the quota by usage, drained by its units
 	estimatedBucket    tokenBucket   // quota left over all gateways, estimated from units admitted here
 	ceilingBucket      tokenBucket   // this gateway's even share of the ceiling, if the plan has one
 	lastEstimatedUnits float64       // units of the last admitted request, scaled from this gateway to all
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -51,7 +51,7 @@
 	customer        *customer
 	arrivedAt       time.Duration
 	deadline        time.Duration // time by which the final answer is due
-	queued          bool          // held by pacing, or waiting for an endpoint with capacity
+	queued          bool          // delayed by pacing or a ceiling, or waiting for an endpoint with capacity
 	forwarded       bool          // counted in the customer's usage
 	attempts        int           // number of attempts so far
 	currentEndpoint *endpoint     // endpoint of the attempt in flight; nil if none is
--- a/policy/engine_test.go
+++ b/policy/engine_test.go
@@ -92,10 +92,10 @@
 	if !engine.TimerPending(managerTimer) || engine.TimerPending(silenceTimer) {
 		t.Error("after the answer, want only the manager's timer to be pending")
 	}
-	gateway.submit(2, idempotentClass, ceilingPlan, 1) // held until its ceiling allows it
+	gateway.submit(2, idempotentClass, ceilingPlan, 1) // queued until its ceiling allows it
 	releaseTimer := gateway.lastTimer
 	if releaseTimer.Kind != TimerRelease || !engine.TimerPending(releaseTimer) {
-		t.Error("the release timer of a held request is not pending")
+		t.Error("the release timer of a queued request is not pending")
 	}
 	engine.ClientDisconnected(gateway.now, 2)
 	if engine.TimerPending(releaseTimer) {
@@ -129,21 +129,22 @@
 	}
 }
 
-// Guards against requests that are left without an answer because their hold ends after the shutdown's deadline.
-func TestShutdownAnswersHeldRequests(t *testing.T) {
+// Guards against requests that are left without an answer because they would leave the queue only after the shutdown's
+// deadline.
+func TestShutdownAnswersQueuedRequests(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 3)
 	exceedQuotaUnderOverload(gateway)
-	gateway.submit(2, idempotentClass, costlyPlan, 1) // held for 100 ms
+	gateway.submit(2, idempotentClass, costlyPlan, 1) // queued for 100 ms
 	gateway.engine.BeginShutdown(gateway.now, gateway.now+10*time.Millisecond)
 	gateway.advance(20 * time.Millisecond)
 	if len(gateway.forwarded) != 1 || !reflect.DeepEqual(gateway.rejected, []RequestID{2}) ||
 		len(gateway.engine.requests) != 0 {
-		t.Errorf("want the held request to be rejected: %v", gateway.log)
+		t.Errorf("want the queued request to be rejected: %v", gateway.log)
 	}
 }
 
-// A request must not be forwarded after its client has disconnected, whether it is held, waits for an endpoint with
-// capacity or is between two attempts, and whether or not attempts may be cancelled.
+// A request must not be forwarded after its client has disconnected, whether it is delayed by pacing, waits for an
+// endpoint with capacity or is between two attempts, and whether or not attempts may be cancelled.
 func TestRequestOfDisconnectedClientIsNotForwarded(t *testing.T) {
 	for _, canCancel := range []bool{true, false} {
 		cfg := testConfig()
@@ -162,7 +163,7 @@
 		gateway := startTestGateway(cfg, 3)
 		exceedQuotaUnderOverload(gateway)
 		gateway.submit(2, idempotentClass, costlyPlan, 1)
-		disconnect("held", gateway, 2, 1)
+		disconnect("delayed by pacing", gateway, 2, 1)
 
 		gateway = startTestGateway(cfg, 3)
 		gateway.engine.pausedUntil = 100 * time.Millisecond
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -122,60 +122,60 @@
 	return list
 }
 
-func (r *testGateway) record(format string, values ...any) {
-	r.log = append(r.log, fmt.Sprintf("%v ", r.now)+fmt.Sprintf(format, values...))
+func (g *testGateway) record(format string, values ...any) {
+	g.log = append(g.log, fmt.Sprintf("%v ", g.now)+fmt.Sprintf(format, values...))
 }
 
-func (r *testGateway) Forward(id RequestID, endpoint EndpointID, _ time.Duration) {
-	r.forwarded = append(r.forwarded, forwardedAttempt{id, endpoint, r.now})
-	r.record("forward %d to %d", id, endpoint)
+func (g *testGateway) Forward(id RequestID, endpoint EndpointID, _ time.Duration) {
+	g.forwarded = append(g.forwarded, forwardedAttempt{id, endpoint, g.now})
+	g.record("forward %d to %d", id, endpoint)
 }
 
-func (r *testGateway) Reject(id RequestID, _ time.Duration) {
-	r.rejected = append(r.rejected, id)
-	r.record("reject %d", id)
+func (g *testGateway) Reject(id RequestID, _ time.Duration) {
+	g.rejected = append(g.rejected, id)
+	g.record("reject %d", id)
 }
 
-func (r *testGateway) Fail(id RequestID) {
-	r.failed = append(r.failed, id)
-	r.record("fail %d", id)
+func (g *testGateway) Fail(id RequestID) {
+	g.failed = append(g.failed, id)
+	g.record("fail %d", id)
 }
 
-func (r *testGateway) CancelAttempt(id RequestID, attempt int) {
-	r.cancelled = append(r.cancelled, id)
-	r.record("cancel %d attempt %d", id, attempt)
+func (g *testGateway) CancelAttempt(id RequestID, attempt int) {
+	g.cancelled = append(g.cancelled, id)
+	g.record("cancel %d attempt %d", id, attempt)
 }
 
-func (r *testGateway) StartTimer(after time.Duration, timer Timer) {
-	r.lastTimer = timer
-	at := r.now + after
-	r.queue.add(at, func() { r.engine.TimerFired(at, timer) })
+func (g *testGateway) StartTimer(after time.Duration, timer Timer) {
+	g.lastTimer = timer
+	at := g.now + after
+	g.queue.add(at, func() { g.engine.TimerFired(at, timer) })
 }
 
-func (r *testGateway) WatchEndpoints(on bool) { r.record("watch %v", on) }
+func (g *testGateway) WatchEndpoints(on bool) { g.record("watch %v", on) }
 
 // advanceTo fires the timers that are due by the given time, in order.
-func (r *testGateway) advanceTo(until time.Duration) {
-	for due, ok := r.queue.popDue(until); ok; due, ok = r.queue.popDue(until) {
-		r.now = due.at
+func (g *testGateway) advanceTo(until time.Duration) {
+	for due, ok := g.queue.popDue(until); ok; due, ok = g.queue.popDue(until) {
+		g.now = due.at
 		due.run()
 	}
-	r.now = until
+	g.now = until
 }
 
 // advance fires the timers that are due within the given duration from now.
-func (r *testGateway) advance(duration time.Duration) { r.advanceTo(r.now + duration) }
+func (g *testGateway) advance(duration time.Duration) { g.advanceTo(g.now + duration) }
 
 // submit submits a request of the plan's only customer, whose requests are spread over two gateways.
-func (r *testGateway) submit(id RequestID, class, plan int, units float64) {
-	r.engine.Submit(r.now, Request{ID: id, Class: class, Plan: plan, Customer: CustomerID(plan + 1),
+func (g *testGateway) submit(id RequestID, class, plan int, units float64) {
+	g.engine.Submit(g.now, Request{ID: id, Class: class, Plan: plan, Customer: CustomerID(plan + 1),
 		TimeLeft: 2 * time.Second, Units: units, SetSize: 2})
 }
 
 // submitSpread submits a request of spreadCustomer in plan 0, whose requests are spread over the given number of
 // gateways.
-func (r *testGateway) submitSpread(id RequestID, units float64, gateways int) {
-	r.engine.Submit(r.now, Request{ID: id, Plan: 0, Customer: spreadCustomer,
+func (g *testGateway) submitSpread(id RequestID, units float64, gateways int) {
+	g.engine.Submit(g.now, Request{ID: id, Plan: 0, Customer: spreadCustomer,
 		TimeLeft: time.Second, Units: units, SetSize: gateways})
 }
 
@@ -183,34 +183,34 @@
 const spreadCustomer CustomerID = 5
 
 // finish ends the latest attempt of a request with a latency of 50 ms.
-func (r *testGateway) finish(id RequestID, status Status, usage float64) {
+func (g *testGateway) finish(id RequestID, status Status, usage float64) {
 	result := AttemptResult{Request: id, Attempt: -1, Status: status, Latency: 50 * time.Millisecond,
 		RequestDone: status == StatusOK, HasUsage: usage >= 0, Usage: usage}
-	for _, attempt := range r.forwarded {
+	for _, attempt := range g.forwarded {
 		if attempt.request == id {
 			result.Endpoint = attempt.endpoint
 			result.Attempt++
 		}
 	}
-	r.engine.AttemptFinished(r.now, result)
+	g.engine.AttemptFinished(g.now, result)
 }
 
 // finishFirstAttempt ends the first attempt of a request and marks the request as done.
-func (r *testGateway) finishFirstAttempt(id RequestID, endpoint EndpointID, status Status, latency time.Duration) {
-	r.engine.AttemptFinished(r.now, AttemptResult{Request: id, Endpoint: endpoint, Status: status,
+func (g *testGateway) finishFirstAttempt(id RequestID, endpoint EndpointID, status Status, latency time.Duration) {
+	g.engine.AttemptFinished(g.now, AttemptResult{Request: id, Endpoint: endpoint, Status: status,
 		Latency: latency, RequestDone: true})
 }
 
 // lastForwardedIs reports whether the latest attempt belongs to the given request.
-func (r *testGateway) lastForwardedIs(id RequestID) bool {
-	return len(r.forwarded) > 0 && r.lastForwarded().request == id
+func (g *testGateway) lastForwardedIs(id RequestID) bool {
+	return len(g.forwarded) > 0 && g.lastForwarded().request == id
 }
 
-func (r *testGateway) lastForwarded() forwardedAttempt { return r.forwarded[len(r.forwarded)-1] }
+func (g *testGateway) lastForwarded() forwardedAttempt { return g.forwarded[len(g.forwarded)-1] }
 
 // endpointOfAttempt returns the endpoint of the attempt with the given index in the order of forwarding.
-func (r *testGateway) endpointOfAttempt(attempt int) *endpoint {
-	return r.engine.endpoints[r.forwarded[attempt].endpoint]
+func (g *testGateway) endpointOfAttempt(attempt int) *endpoint {
+	return g.engine.endpoints[g.forwarded[attempt].endpoint]
 }
 
 // newRequest returns the engine's internal form of a request of the idempotent class, for tests of single methods.
--- a/policy/metering.go
+++ b/policy/metering.go
@@ -6,11 +6,14 @@
 )
 
 const (
-	usageSmoothing      = 0.3  // weight of a new reading in the average usage (paper, eq. 2)
-	meterLagPeriods     = 1.75 // lag of a reading behind the usage, in metering periods
-	shareAveragingLags  = 3.0  // averaging time of this gateway's share of the usage, in meter lags
-	readingValidPeriods = 3    // least validity of a reading, in metering periods
-	readingValidUnits   = 4    // least validity of a reading, in units that an even split of the quota earns
+	usageSmoothing     = 0.3  // weight of a new reading in the average usage (Li and Jamin, eq. 2)
+	meterLagPeriods    = 1.75 // lag of a reading behind the usage, in metering periods
+	shareAveragingLags = 3.0  // averaging time of this gateway's share of the usage, in meter lags
+
+	// A reading is valid for readingValidPeriods metering periods, or for the time in which an even split of
+	// the quota earns readingValidUnits, whichever is longer.
+	readingValidPeriods = 3
+	readingValidUnits   = 4
 )
 
 // meterLagSeconds is the time by which a reading lags behind the usage.
@@ -74,8 +77,8 @@
 	e.refillBuckets(c, elapsed)
 }
 
-// refreshReading drops a reading that is no longer valid. A valid reading also stands for the later metering
-// periods for which no answer carried one.
+// refreshReading drops a reading that is no longer valid. A valid reading also counts for later metering
+// periods for which no answer has carried a reading.
 func (e *Engine) refreshReading(now time.Duration, c *customer) {
 	validFor := max(readingValidPeriods*e.cfg.MeterPeriod, seconds(readingValidUnits*c.setSize/c.plan.QuotaRate))
 	if c.hasReading && now-c.meteredAt > validFor {
@@ -102,13 +105,13 @@
 	c.laggedUsage = c.laggedUsage*decay + c.meteredRate*elapsed
 }
 
-// usageShare is this gateway's observed share of a customer's usage. Without observations it is an even split
-// among the customer's gateways.
+// usageShare is this gateway's share of a customer's usage: the units forwarded here, relative to the metered
+// usage over all gateways. Without a reading it is an even split among the customer's gateways.
 func (e *Engine) usageShare(c *customer) float64 {
 	priorUsage := c.plan.QuotaRate * meterLagPeriods * e.cfg.MeterPeriod.Seconds() * shareAveragingLags / 4
-	// A reading without usage means that the customer became active after the metered period. All of its
-	// observed usage is then at this gateway, which would be granted nearly the whole quota, although a sparsely
-	// spread customer hardly uses one gateway alone.
+	// A reading without usage means that the customer became active after the metered period. All of its known
+	// usage is then at this gateway, which would be granted nearly the whole quota, although a sparsely spread
+	// customer hardly uses one gateway alone.
 	newlyActive := c.meteredRate <= 0 && c.sparselySpread()
 	if priorUsage <= 0 || !c.hasReading || newlyActive {
 		return 1 / c.setSize
--- a/policy/metering_test.go
+++ b/policy/metering_test.go
@@ -7,7 +7,7 @@
 
 // For a customer far over its quota the reject probability must keep rising by the last reading, also in metering
 // periods in which no answer carries a reading.
-func TestRejectProbabilityMovesWithoutNewReadings(t *testing.T) {
+func TestRejectProbabilityRisesWithoutNewReadings(t *testing.T) {
 	cfg := testConfig()
 	cfg.GatewayCount = 60
 	engine := startTestGateway(cfg, 9).engine
@@ -42,7 +42,7 @@
 }
 
 // In a surge that began after the metered period, every gateway gets a reading of no usage. A gateway that then assumed
-// it was the only one to carry the customer would refill its bucket with nearly the whole quota.
+// it was the only one that serves the customer would refill its bucket with nearly the whole quota.
 func TestZeroReadingKeepsEvenSplit(t *testing.T) {
 	const seeds = 20
 	cfg := testConfig()
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -52,8 +52,8 @@
 }
 
 // recordFailure ejects an endpoint at its first failure, since a healthy endpoint hardly ever fails. The
-// backoff doubles with each failure while it is ejected. So many endpoints are never ejected that the rest
-// would be overloaded.
+// backoff doubles with each failure while it is ejected. The share of ejected endpoints is limited, since the
+// remaining endpoints would otherwise be overloaded.
 func (e *Engine) recordFailure(now time.Duration, ep *endpoint, reason Reason) {
 	if ep.ejected {
 		ep.ejectionBackoff = min(maxEjection, 2*max(ep.ejectionBackoff, minEjection/2))
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -9,7 +9,7 @@
 	latencyRatioSmoothing = 0.05 // weight of one answer in the smoothed latency ratio
 	maxLatencyRatio       = 2.0  // cap on a latency ratio; used for rejections, timeouts and lack of capacity
 
-	initialEndpointLimit  = 24.0 // units in flight at a new endpoint, from all gateways together
+	initialEndpointLimit  = 24.0 // limit on units in flight at a new endpoint, from all gateways together
 	endpointLateThreshold = 0.2  // latency ratio above which an endpoint's limit is lowered
 	endpointLimitDecrease = 0.7  // factor that lowers an endpoint's limit, at most once in the time of a latency
 	gatewayLateThreshold  = 0.5  // latency ratio from which the gateway limit is lowered
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -145,7 +145,7 @@
 	}
 	gateway.advanceTo(400 * time.Millisecond)
 	if !engine.overloaded {
-		t.Errorf("no overload is detected at a pressure of %v though no request found capacity", engine.latencyRatio)
+		t.Errorf("no overload is detected at a latency ratio of %v though no request found capacity", engine.latencyRatio)
 	}
 }
 
--- a/policy/overuse.go
+++ b/policy/overuse.go
@@ -7,8 +7,8 @@
 
 const (
 	maxOveruseCost         = 0.1              // acceptable cost of usage over quota, per requested value
-	assumedOverQuotaShare  = 0.4              // assumed share of the value over quota; observed: 0.21 to 0.41
-	assumedOverQuotaFactor = 4.0              // assumed demand of a customer over quota, as a multiple of it
+	assumedOverQuotaShare  = 0.4              // share of the requested value that the model puts over quota
+	assumedOverQuotaFactor = 4.0              // demand of a customer over quota in the model, in quotas
 	overuseDecay           = 20 * time.Second // time constant with which the sums over readings decay
 	overusePriorWeight     = 10.0             // weight of the prior, as a number of readings
 	overuseCostTarget      = 0.4              // share of maxOveruseCost above which readings lower admission
@@ -82,7 +82,7 @@
 
 // admitProbability is the probability with which a typical request of unknown usage is admitted. With it,
 // usage over quota costs maxOveruseCost if assumedOverQuotaShare of the value is requested over quota, by
-// customers who use one part in assumedOverQuotaFactor within their quotas.
+// customers whose demand is assumedOverQuotaFactor times their quota.
 func (m *overuseModel) admitProbability() float64 {
 	if m.potentialCost <= maxOveruseCost/assumedOverQuotaShare*m.requestedValue {
 		return 1
@@ -105,10 +105,10 @@
 	return (plan.overQuotaUnits + prior*mean) / (plan.units + prior) / mean
 }
 
-// correction is a factor of at most 1 that lowers admission where readings show that usage over quota costs
-// too much. The model alone cannot tell, since no setting states how often clients retry at other gateways.
-// The factor never raises admission, because a few answers would then admit far too much.
-func (m *overuseModel) correction() float64 {
+// costCorrection is a factor of at most 1 that lowers admission where readings show that usage over quota
+// costs too much. The model cannot predict that cost, since no setting states how often clients retry at
+// other gateways. The factor never raises admission, because a few answers would then admit far too much.
+func (m *overuseModel) costCorrection() float64 {
 	if m.meteredValue <= 0 {
 		return 1
 	}
@@ -125,8 +125,8 @@
 }
 
 // overcommitFactor is the factor on the quota that is granted to a sparsely spread customer of unknown usage.
-// An even split of the quota holds less than a request, and alone would lock the customer out for minutes,
-// even where usage over quota costs little.
+// An even split of the quota holds less than a request, so without the factor the customer would be rejected
+// for minutes, even where usage over quota costs little.
 func (e *Engine) overcommitFactor(c *customer) float64 {
 	if c.hasReading || !c.sparselySpread() || c.plan.OverQuotaCost <= 0 {
 		return 1
@@ -134,11 +134,11 @@
 	return 1 / max(minRejectProbability, 1-e.overuse.admitProbability())
 }
 
-// rejectsUnknownUsage decides by chance whether a request of a sparsely spread customer of unknown usage is
-// rejected. Otherwise the first request at each gateway would be admitted, and a greedy customer needs no
-// others. Rejection is more likely for large requests and for plans whose usage over quota is costly or
-// frequent. A random draw is kept until an even split of the quota has earned the request, or retries would
-// eventually be admitted everywhere.
+// rejectsUnknownUsage decides by a random draw whether a request of a sparsely spread customer of unknown
+// usage is rejected. Without it the first request at each gateway would be admitted, and a customer far over
+// its quota reaches so many gateways that it would hardly ever be rejected. Rejection is more likely for
+// large requests and for plans whose usage over quota is costly or frequent. A draw is kept until an even
+// split of the quota has earned the request, or retries would eventually be admitted everywhere.
 func (e *Engine) rejectsUnknownUsage(now time.Duration, r *request) bool {
 	c, m := r.customer, &e.overuse
 	if !c.sparselySpread() || c.plan.OverQuotaCost <= 0 {
@@ -150,5 +150,5 @@
 	meanCost := m.weightedPotentialCost / m.potentialCost
 	relativeRisk := r.Units / m.typicalUnits * c.plan.OverQuotaCost / meanCost *
 		m.planOveruseRatio(c.planOveruse)
-	return relativeRisk*c.admissionDraw > m.admitProbability()*m.allowance()*m.correction()
+	return relativeRisk*c.admissionDraw > m.admitProbability()*m.allowance()*m.costCorrection()
 }
--- a/policy/overuse_test.go
+++ b/policy/overuse_test.go
@@ -10,7 +10,7 @@
 // at the same gateway must not be admitted after a rejection, which reveals nothing about the customer's usage.
 func TestUnknownUsageIsAdmittedByRisk(t *testing.T) {
 	for _, test := range []struct {
-		gateways                 int // number of gateways that carry the customer
+		gateways                 int // number of gateways that serve the customer
 		quota, units, cost       float64
 		minAdmitted, maxAdmitted int // of 300 gateways; at least three standard deviations from the mean
 	}{
@@ -100,7 +100,7 @@
 			engine.overuse.recordMetered(r)
 		}
 		gateway.advance(wait)
-		return engine.overuse.correction()
+		return engine.overuse.costCorrection()
 	}
 	if got := correctionAfter(0.5, 1, 40, 0); got != 1 {
 		t.Errorf("correction is %v though all usage is within quota, want 1", got)
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -3,26 +3,28 @@
 import "time"
 
 const (
-	bandwidthManagerPeriod = 500 * time.Millisecond // the paper (V.B) asks for 0.5 to 1 second
+	bandwidthManagerPeriod = 500 * time.Millisecond // within the 0.5 to 1 s of Li and Jamin, section V.B
 	maxEvictedUsageShare   = 0.01                   // largest share of its quota that an evicted customer uses
 )
 
-// bandwidthManager holds the paper's sums over all customers, as of its last pass.
+// bandwidthManager holds the sums over all customers that pacing needs, as of its last pass. It implements
+// the bandwidth manager of Li and Jamin.
 type bandwidthManager struct {
 	lastRun             time.Duration // time of the last pass
-	peakUsage           float64       // peak of total usage and quota, in units per second; B̂ of the paper
+	peakUsage           float64       // peak of total usage and quota, in units per second; B̂ of Li and Jamin
 	totalUsage          float64       // sum of the customers' average usages b̂, in units per second
-	totalQuota          float64       // sum of the customers' quotas, in units per second; B of the paper
+	totalQuota          float64       // sum of the customers' quotas, in units per second; B of Li and Jamin
 	anyActiveUnderQuota bool          // at least one active customer is under its quota
 }
 
-// pacingDelaySeconds is the delay of a request by eq. 3 of the paper, (1/d - 1/B̂)·units, and at least 0.
-// It is infinite if no rate is available.
+// pacingDelaySeconds is the delay of a request by eq. 3 of Li and Jamin, (1/d - 1/B̂)·units, and at least 0:
+// d is the available rate and B̂ the peak usage. The delay is infinite if no rate is available.
 func (e *Engine) pacingDelaySeconds(c *customer, units float64) float64 {
 	return max(0, (1/e.bandwidth.availableRate(c)-1/e.bandwidth.peakUsage)*units)
 }
 
-// availableRate is the rate that is available to a customer: d of the paper (eq. 4 to 6).
+// availableRate is the rate that is available to a customer, in units per second: d of Li and Jamin, eq. 4
+// to 6.
 func (m *bandwidthManager) availableRate(c *customer) float64 {
 	quota := c.plan.QuotaRate
 	switch {
@@ -34,9 +36,8 @@
 	return max(0, quota)
 }
 
-// runBandwidthManager is a pass of the paper's bandwidth manager. It decays the usage of customers without a
-// reading, evicts idle customers whose usage is near 0, clears the active flags and raises the
-// peak usage B̂.
+// runBandwidthManager runs a pass of the bandwidth manager. It decays the usage of customers without a
+// reading, evicts idle customers whose usage is near 0, clears the active flags and raises the peak usage.
 func (e *Engine) runBandwidthManager(now time.Duration) {
 	m := &e.bandwidth
 	elapsed := now - m.lastRun
--- a/policy/pacing_test.go
+++ b/policy/pacing_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// Checks the hold time against the paper's formula: units over the rate available to the customer, less units over the
-// peak usage of all customers, and never below zero.
-func TestHoldTimeFollowsAvailableRate(t *testing.T) {
+// Guards against a pacing delay that differs from the formula of Li and Jamin: the units divided by the rate available
+// to the customer, less the units divided by the peak usage of all customers, and never below zero.
+func TestPacingDelayFollowsAvailableRate(t *testing.T) {
 	engine := startTestGateway(testConfig(), 3).engine
 	manager := &engine.bandwidth
 	c := &customer{plan: &Plan{QuotaRate: 10}, avgUsage: 4}
 	manager.peakUsage, manager.totalQuota, manager.totalUsage = 100, 40, 20
 	for _, test := range []struct {
-		someUnderQuota       bool
+		anyUnderQuota        bool
 		avgUsage, totalUsage float64
 		availableRate        float64
 	}{
@@ -22,17 +22,17 @@
 		{false, 4, 20, 24}, // no customer under its quota, total quota not used up: total quota less the usage of the others
 		{false, 4, 50, 10}, // no customer under its quota, total quota used up: its quota
 	} {
-		manager.anyActiveUnderQuota, manager.totalUsage = test.someUnderQuota, test.totalUsage
+		manager.anyActiveUnderQuota, manager.totalUsage = test.anyUnderQuota, test.totalUsage
 		c.avgUsage = test.avgUsage
 		if got := manager.availableRate(c); got != test.availableRate {
 			t.Errorf("%+v: available rate is %v", test, got)
 		}
 		if got, want := engine.pacingDelaySeconds(c, 2), (1/test.availableRate-1/100.0)*2; math.Abs(got-want) > 1e-12 {
-			t.Errorf("%+v: hold time is %v s, want %v s", test, got, want)
+			t.Errorf("%+v: pacing delay is %v s, want %v s", test, got, want)
 		}
 	}
 	manager.peakUsage = 5
 	if got := engine.pacingDelaySeconds(c, 2); got != 0 {
-		t.Errorf("hold time is %v s where the formula is negative, want 0", got)
+		t.Errorf("pacing delay is %v s where the formula is negative, want 0", got)
 	}
 }
--- a/policy/properties_model_test.go
+++ b/policy/properties_model_test.go
@@ -33,7 +33,7 @@
 	shutdownDeadline time.Duration // 0 until a shutdown begins
 	dropStaleTimers  bool          // drops timers that are not pending instead of firing them
 
-	endpoints         map[EndpointID]Endpoint // the endpoint list that the engine knows
+	endpoints         map[EndpointID]Endpoint // the endpoint list that the engine has received
 	requests          []*modelRequest         // in order of their ids, which start at 1
 	peakInFlightUnits float64                 // highest sum of units in flight so far
 	log               []action                // all actions of the engine
@@ -52,7 +52,7 @@
 	duration time.Duration // the call's duration or point in time, if any
 }
 
-// modelRequest holds what the client knows about its request.
+// modelRequest holds a client's request, its attempts and the answers that the client has received.
 type modelRequest struct {
 	Request
 	class        Class
@@ -288,7 +288,7 @@
 	}
 	for _, c := range e.customerList {
 		if c.openRequests != 0 || c.queuedRequests != 0 {
-			m.recordViolation(ruleInFlight, "customer %d has %d open, %d held requests", c.id, c.openRequests, c.queuedRequests)
+			m.recordViolation(ruleInFlight, "customer %d: %d open, %d queued requests", c.id, c.openRequests, c.queuedRequests)
 		}
 	}
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -15,8 +15,8 @@
 func (b *tokenBucket) refill(units, capacity float64) { b.tokens = min(capacity, b.tokens+units) }
 
 // overQuota reports whether the quotas reject a request. While meteredBucket is empty, requests are rejected
-// at random with the reject probability. The meter lags behind a surge, and shows nothing where answers are
-// rare, so the units admitted here decide before the meter does.
+// at random with the reject probability. The meter lags behind a surge, and gives no readings where answers
+// are rare, so the buckets that the units admitted here drain are checked first.
 func (e *Engine) overQuota(now time.Duration, r *request) bool {
 	c := r.customer
 	if c.plan.MaxConcurrent > 0 && float64(c.openRequests) >= max(1, c.plan.MaxConcurrent/c.setSize) {
@@ -35,14 +35,15 @@
 	return c.hasReading && c.meteredBucket.tokens < r.Units && e.rng.Float64() < c.rejectProbability
 }
 
-// readingConclusive reports whether a single reading shows that a customer is over quota: the quota of a
-// metering period holds at least one request.
+// readingConclusive reports whether a single reading can show that a customer is over quota. It can if the
+// quota of a metering period holds the largest request.
 func (e *Engine) readingConclusive(c *customer) bool {
 	return c.plan.QuotaRate*e.cfg.MeterPeriod.Seconds() >= max(1, e.cfg.MaxRequestUnits)
 }
 
-// quotaByMeterAlone reports whether gatewayBucket does not count because it is empty after each request. It
-// counts all the same for plans whose usage over quota costs as much as it would earn within it.
+// quotaByMeterAlone reports whether the meter alone decides on the quota of a customer with a conclusive
+// reading. gatewayBucket is then ignored, because a sparsely spread customer empties it with each request. It
+// is not ignored for plans whose usage over quota costs at least what it would earn within the quota.
 func (e *Engine) quotaByMeterAlone(c *customer) bool {
 	return c.sparselySpread() && c.plan.OverQuotaCost < 1 && e.readingConclusive(c)
 }
@@ -83,8 +84,8 @@
 	c.ceilingBucket.refill(p.CeilingRate/c.setSize*elapsed, p.CeilingBurst/c.setSize)
 }
 
-// gatewayBurst is the capacity of gatewayBucket: this gateway's share of the burst, but at least a usual
-// request.
+// gatewayBurst is the capacity of gatewayBucket: this gateway's share of the burst, but at least one unit and
+// at least minBucketRequestShare of the largest request.
 func (e *Engine) gatewayBurst(c *customer) float64 {
 	return max(c.plan.Burst*e.usageShare(c), minBucketRequestShare*e.cfg.MaxRequestUnits, 1)
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -47,7 +47,7 @@
 // must drain its bucket.
 func TestUnmeteredSurgeIsLimitedByOwnForwardedUnits(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 9)
-	for id := RequestID(1); id <= 60; id++ { // 60 units at once; the gateway's observed share is about a half
+	for id := RequestID(1); id <= 60; id++ { // 60 units at once; the gateway's share of the usage is about a half
 		gateway.submit(id, idempotentClass, costlyPlan, 1)
 		gateway.finish(id, StatusOK, 0.5)
 	}
@@ -56,7 +56,7 @@
 	}
 }
 
-// One of sixty gateways carries a third of the requests of a customer within its quota. Its even share of the burst is
+// One of sixty gateways receives a third of the requests of a customer within its quota. Its even share of the burst is
 // a sixth of a request, and the debt of one request would last ten seconds. The customer must be served all the same.
 func TestCustomerWithinQuotaIsServedByOneOfManyGateways(t *testing.T) {
 	const gateways = 60
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -5,7 +5,7 @@
 const (
 	retryTokensPerRequest = 0.2  // retry budget that each submitted request earns, in retries
 	maxRetryTokens        = 10.0 // largest retry budget, in retries
-	silenceFactor         = 8.0  // multiple of its expected latency after which an attempt is retried elsewhere
+	silenceFactor         = 8.0  // multiple of the expected latency after which an attempt is retried elsewhere
 	overdueMargin         = 1.01 // factor that puts the check of an attempt just past endpointLateThreshold
 )
 
@@ -93,8 +93,8 @@
 }
 
 // checkSilence checks an attempt that has not been answered. An overdue attempt counts as late for the
-// concurrency limits. After silenceFactor times its expected latency, more than an answer should ever take,
-// the attempt is retried elsewhere; an earlier retry would only multiply the load.
+// concurrency limits. After silenceFactor times its expected latency, which no regular answer takes, the
+// attempt is retried elsewhere; an earlier retry would only multiply the load.
 func (e *Engine) checkSilence(now time.Duration, r *request) {
 	if r.responseStarted { // a streamed answer may last as long as the client accepts
 		return
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -32,7 +32,7 @@
 		}
 		if test.class == keyedClass &&
 			(first == otherZoneEndpoint) != (gateway.forwarded[1].endpoint == otherZoneEndpoint) {
-			t.Errorf("the request was retried in a zone that does not know its key: %v", gateway.log)
+			t.Errorf("the request was retried in a zone that does not share its idempotency key: %v", gateway.log)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 
 // If all endpoints are slow and each gateway seldom gets an answer from one, retrying attempts elsewhere would only
 // multiply the work. An attempt must not be cancelled before it takes eight times the usual latency.
-func TestAttemptIsNotMovedWhileAllEndpointsAreSlow(t *testing.T) {
+func TestAttemptIsNotRetriedElsewhereWhileAllEndpointsAreSlow(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 3)
 	gateway.engine.latencyPerUnit = 0.15
 	gateway.submit(1, idempotentClass, unknownPlan, 1)
@@ -89,7 +89,7 @@
 
 // A streamed response may last longer than any latency objective. It must not count as a sign of a slow endpoint, and
 // its attempt must not be cancelled.
-func TestStreamedResponseIsNotMoved(t *testing.T) {
+func TestStreamedResponseIsNotRetriedElsewhere(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 2)
 	gateway.submit(1, idempotentClass, unknownPlan, 1)
 	ep := gateway.endpointOfAttempt(0)
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -3,20 +3,23 @@
 import "time"
 
 const (
-	warmUpMargin           = 0.8  // share of the warm-up budget that is used
-	minInitialCapacity     = 0.01 // least assumed share of its capacity that an endpoint has at its start
-	minRateAveragingPasses = 10   // averaging time of demandRate, and least one of forwardRate, in passes
+	warmUpMargin       = 0.8  // share of the warm-up budget that is used
+	minInitialCapacity = 0.01 // lower limit for Config.WarmUpInitialCapacity
+
+	// minRateAveragingPasses is the averaging time of demandRate, and the least averaging time of forwardRate,
+	// in passes of the bandwidth manager.
+	minRateAveragingPasses = 10
 
 	// safeDemandShare is the share of demandRate that endpoints can certainly serve once they are warm, unless
 	// the demand exceeds 2.5 times their capacity.
 	safeDemandShare = 0.4
 
 	// warmUpFreeRequests is how many requests per overload window all gateways together may send to an endpoint
-	// regardless of its capacity. The slow start rule tolerates three, for chance, where the endpoint has no
-	// capacity at all.
+	// regardless of its capacity. The operators' slow-start rule tolerates three, as random variation, even at
+	// an endpoint without any capacity.
 	warmUpFreeRequests = 2
 
-	minWarmUpTokens = 1e-9 // units; a level just above 0, which admits one request
+	minWarmUpTokens = 1e-9 // units; a bucket level just above 0, which admits one request
 )
 
 // capacityShare is the share of its full capacity that an endpoint has at least by now. It rises linearly
@@ -39,8 +42,8 @@
 
 // warmUpBudgetAllows enforces slow start with a token bucket: a request is allowed while the level is above 0
 // and may take it below 0. The initial level is random and negative, to spread the first requests of many
-// gateways that learn of a start at the same time. A few gateways start with a positive level instead: the
-// slow start rule tolerates a few requests of the whole fleet.
+// gateways that are notified of a start at the same time. A few gateways start with a positive level instead,
+// because the operators' slow-start rule tolerates a few requests of the whole fleet.
 func (e *Engine) warmUpBudgetAllows(now time.Duration, ep *endpoint, units float64) bool {
 	if e.capacityShare(now, ep) >= 1 {
 		return true
@@ -58,8 +61,8 @@
 
 // refillWarmUpBucket adds the units that the endpoint can serve since the last refill: its warm-up share of
 // the rate that this gateway forwards, averaged for long enough to include the time before a fault. Where
-// that rate is too low to tell, as in a new gateway or after an idle time, a safe share of the demand at this
-// gateway replaces it.
+// that rate is at most the safe share of the demand, as in a new gateway or after an idle time, that share of
+// the demand at this gateway replaces it.
 func (e *Engine) refillWarmUpBucket(now time.Duration, ep *endpoint, units float64) {
 	share := e.warmUpShare(now, ep)
 	window := e.cfg.WarmUpOverloadWindow.Seconds()
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// A hundred gateways learn at the same time of an endpoint that warms up. If each forwarded its first request to it,
-// the endpoint would be overloaded, so the warm-up budget must hold for the sum over all gateways.
+// A hundred gateways are notified at the same time of an endpoint that warms up. If each forwarded its first request to
+// it, the endpoint would be overloaded, so the warm-up budget must limit the sum over all gateways.
 func TestWarmUpBudgetIsSharedByAllGateways(t *testing.T) {
 	const gateways = 100
 	units := 0
@@ -113,10 +113,10 @@
 	minBudgetUsed   float64 // minimum share of the budget to be used; large fleets need a fraction of it
 }
 
-// The operators sum up what all gateways forward to an endpoint that warms up. For a budget of N requests in a window
-// they accept N+2*sqrt(N)+2, to allow for random variation. Guards against exceeding this bound when many gateways each
-// forward a whole request, when gateways that just started have measured no rate, when a quiet time leaves unused
-// budget for a surge, and when requests are large; and against leaving the budget unused.
+// The operators' slow-start rule limits what all gateways together forward to an endpoint that warms up: for a budget
+// of N requests in a window it accepts N+2*sqrt(N)+2, to allow for random variation. Guards against exceeding this
+// bound when many gateways each forward a whole request, when gateways that just started have no average rate yet, when
+// a quiet time leaves unused budget for a surge, and when requests are large; and against leaving the budget unused.
 func TestWarmUpBudgetHoldsForWholeFleet(t *testing.T) {
 	for _, scenario := range []warmUpScenario{
 		{name: "notified at once", loadBefore: 0.6, loadAfter: 0.6, minBudgetUsed: 0.15},
--- a/policy/warming_fleet_test.go
+++ b/policy/warming_fleet_test.go
@@ -168,7 +168,7 @@
 	f.recordAttempts(gateway)
 }
 
-// advance moves a gateway's time forward and records the attempts of held requests that it forwards.
+// advance moves a gateway's time forward and records the attempts of queued requests that it forwards.
 func (f *warmingFleet) advance(gateway *testGateway, until time.Duration) {
 	gateway.advanceTo(max(until, gateway.now))
 	f.recordAttempts(gateway)
