--- a/cmd/gateway/descriptors_test.go
+++ b/cmd/gateway/descriptors_test.go
@@ -15,7 +15,7 @@
 
 // Idle clients must not use up the file descriptors. When discovery is back after an outage, the call to it, the dials
 // to endpoints and the connections of new clients must each get a descriptor at once. The program runs with a real
-// descriptor limit, which it learns from the configuration or only from the operating system.
+// descriptor limit, which is set in the configuration or only in the operating system.
 func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	for name, limits := range map[string]string{
 		"limit in the configuration":    `,"limits":{"sockets":48}`,
--- a/internal/config/timeouts.go
+++ b/internal/config/timeouts.go
@@ -49,7 +49,7 @@
 }
 
 // PolicyConfig returns the policy configuration for real connections. It reduces each KeyTTL by the longest time
-// between a decision and the first byte of its attempt, so that a retry arrives while endpoints still know its key.
+// between a decision and the first byte of its attempt, so that a retry arrives while endpoints remember its key.
 func (c *Config) PolicyConfig(seed uint64) policy.Config {
 	config := settings.PolicyConfig(&c.Settings, seed)
 	for i := range config.Classes {
--- a/internal/config/timeouts_test.go
+++ b/internal/config/timeouts_test.go
@@ -7,7 +7,7 @@
 	"springfield/internal/settings"
 )
 
-// A retry with an idempotency key is safe only while the endpoint still knows the key. A dial can delay the retry's
+// A retry with an idempotency key is safe only while the endpoint remembers the key. A dial can delay the retry's
 // first byte, so the policy must use a shorter TTL.
 func TestKeyTTLIsReducedByDialTimeout(t *testing.T) {
 	classes := newTestConfig(t).PolicyConfig(1).Classes
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,6 +1,6 @@
 // Package discovery keeps the gateway's endpoint list up to date. A Client fetches the list over HTTP, watches it for
 // changes and publishes both to a Sink. Its calls are paced so that a discovery service that is shared by the whole
-// fleet is not overloaded, and so that the gateway still learns of each change in time.
+// fleet is not overloaded, and so that the gateway still receives each change in time.
 package discovery
 
 import (
@@ -111,13 +111,13 @@
 // FirstResponse returns a channel that is closed once discovery has responded for the first time.
 func (c *Client) FirstResponse() <-chan struct{} { return c.firstResponse }
 
-// Migrate makes the client follow the discovery service at another address. askedAt is when the migration was
+// Migrate makes the client follow the discovery service at another address. requestedAt is when the migration was
 // requested. The current endpoint list stays in effect until the complete list has been read from the new address.
-func (c *Client) Migrate(address string, askedAt time.Time) {
+func (c *Client) Migrate(address string, requestedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if url := instancesURL(address); url != c.url {
-		c.url, c.migratedAt = url, askedAt
+		c.url, c.migratedAt = url, requestedAt
 		c.cancelFollow()
 	}
 }
--- a/internal/discovery/start_times.go
+++ b/internal/discovery/start_times.go
@@ -12,8 +12,8 @@
 	maxUnlistedStarts = 8192
 )
 
-// maxClockOffset is the largest difference that is assumed between this machine's wall clock and those of the
-// endpoints. The clock may be stepped by seconds or by an hour, and two such steps may add up.
+// maxClockOffset is the largest difference between this machine's wall clock and those of the endpoints that is
+// tolerated. The clock may be stepped by seconds or by an hour, and two such steps may add up.
 const maxClockOffset = 2*time.Hour + 5*time.Minute
 
 // startTimes tracks when the listed endpoints started, on the gateway's monotonic clock.
--- a/internal/frontend/accept_errors.go
+++ b/internal/frontend/accept_errors.go
@@ -20,8 +20,8 @@
 // isPermanentAcceptError reports whether a listener can never accept again after the error. All other errors are
 // temporary: accept(2) also reports errors of the pending connection and shortages of descriptors or memory.
 func isPermanentAcceptError(err error) bool {
-	for _, final := range [...]error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK} {
-		if errors.Is(err, final) {
+	for _, permanent := range [...]error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK} {
+		if errors.Is(err, permanent) {
 			return true
 		}
 	}
@@ -34,15 +34,15 @@
 }
 
 // reset clears the delay after a successful call.
-func (r *acceptBackoff) reset() { r.delay = 0 }
+func (b *acceptBackoff) reset() { b.delay = 0 }
 
 // wait sleeps after a failed call and doubles the delay with each consecutive failure. It logs the first failure of a
 // series.
-func (r *acceptBackoff) wait(err error) {
+func (b *acceptBackoff) wait(err error) {
 	counters.Count(counters.AcceptFailed, "")
-	if r.delay == 0 {
+	if b.delay == 0 {
 		slog.Warn("accept failed", "err", err)
 	}
-	r.delay = min(maxAcceptBackoff, max(minAcceptBackoff, 2*r.delay))
-	time.Sleep(r.delay)
+	b.delay = min(maxAcceptBackoff, max(minAcceptBackoff, 2*b.delay))
+	time.Sleep(b.delay)
 }
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -161,7 +161,7 @@
 	h.respond(w, r, status, upstream.Response{})
 }
 
-// respondRejected responds to a rejected request and tells the client when to retry.
+// respondRejected responds to a rejected request, with a Retry-After header unless retryAfter is 0.
 func (h *handler) respondRejected(w http.ResponseWriter, r *http.Request, retryAfter time.Duration) {
 	if retryAfter > 0 {
 		w.Header()["Retry-After"] = []string{strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64)}
--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = inner.Close() }) // an error that matters fails the test before
+	t.Cleanup(func() { _ = inner.Close() }) // an error here does not matter, because the checks are done
 	testkit.Dial(t, inner.Addr().String())
 	listener := &limitedListener{limiter: newConnectionLimiter(testLimit)}
 	listener.stop()
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -43,7 +43,7 @@
 	maxUnits     float64 // maximum size of a request
 }
 
-// requestClass holds what the parser needs to know of a class.
+// requestClass holds the properties of a class that the parser checks.
 type requestClass struct {
 	index       int // index in the settings
 	method      string
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	headerTimeout  = 2200 * time.Millisecond // for the head of a request, and for the first byte of a connection
-	idleTimeout    = 10 * time.Second        // for a further request on a connection
-	transferMargin = 5 * time.Second         // for reading a request or writing a response, beyond the longest deadline
+	headerTimeout  = 2200 * time.Millisecond // limit for the head of a request, also for a connection's first byte
+	idleTimeout    = 10 * time.Second        // limit for the start of a further request on a connection
+	transferMargin = 5 * time.Second         // limit for reading or writing a message, beyond the longest deadline
 	maxHeaderBytes = 16 << 10
 )
 
--- a/internal/gateway/client_disconnect_test.go
+++ b/internal/gateway/client_disconnect_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// When a client disconnects, its attempt must be cancelled, or the endpoint would go on working for nobody.
+// When a client disconnects, its attempt must be cancelled, or the endpoint would continue work that no client needs.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	received := make(chan struct{}, 1)
 	server := testkit.NewServer(t, func(net.Conn, *http.Request) bool { received <- struct{}{}; return true })
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -128,7 +128,7 @@
 // A gateway must become ready while discovery refuses, hangs or rejects calls, with and without a cached endpoint list.
 // With a cached list it must serve requests, without one it must reject them.
 func TestGatewayBecomesReadyWithoutDiscovery(t *testing.T) {
-	hanging, err := net.Listen("tcp", "127.0.0.1:0") // connections are established, but nobody responds
+	hanging, err := net.Listen("tcp", "127.0.0.1:0") // connections are established, but get no response
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway runs a gateway process. It starts and connects the components, serves clients until it is told to
-// stop, and shuts down gracefully.
+// Package gateway runs a gateway process. It starts and connects the components, serves clients until its context ends,
+// and shuts down gracefully.
 package gateway
 
 import (
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -13,9 +13,9 @@
 	// connections still arrive after SIGTERM.
 	drainDelay = 500 * time.Millisecond
 
-	// maxDrainDuration limits how long requests may take in a drain. After SIGTERM the process may be killed once the
-	// longest request deadline plus 0.7 s have passed, where the protocol counts a deadline of more than 3 s as 3 s.
-	// After drainDelay and exitMargin 0.1 s of the 0.7 s is left.
+	// maxDrainDuration limits the time that open requests have to finish after drainDelay. After SIGTERM the process may
+	// be killed once the longest request deadline plus 0.7 s have passed, where the protocol counts a deadline of more
+	// than 3 s as 3 s. After drainDelay and exitMargin 0.1 s of the 0.7 s is left.
 	maxDrainDuration = 3 * time.Second
 
 	// exitMargin is the time for the last responses to reach their clients.
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -45,8 +45,8 @@
 	r.float64(giveUpAtMs)
 }
 
-// Reject ends a request (protocol: Refuse). The client learns that a retry is safe, and after which time it should
-// retry; with a retryAfterMs of 0 it learns no time.
+// Reject ends a request (protocol: Refuse) and informs the client that a retry is safe. The client should retry after
+// retryAfterMs; 0 gives no advice on when to retry.
 func (r *Reply) Reject(instance, request uint32, retryAfterMs float64) {
 	r.beginRecord(actionReject, instance, idBytes+timeBytes)
 	r.uint32(request)
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -14,7 +14,8 @@
 	"springfield/policy"
 )
 
-// An attempt whose connection is refused has certainly not been executed, which StatusConnectFailed tells the engine.
+// An attempt whose connection is refused has certainly not been executed. Its status must say so, or the engine could
+// not retry a request that is not idempotent.
 func TestRefusedConnectionReportsConnectFailed(t *testing.T) {
 	server := testkit.NewServer(t, testkit.Silent)
 	server.Stop()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -60,7 +60,7 @@
 	return p
 }
 
-// Run closes the idle connections that are stale or have exceeded the idle timeout, until ctx ends.
+// Run closes idle connections when they are stale or have exceeded the idle timeout, until ctx ends.
 func (p *Pool) Run(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -17,7 +17,7 @@
 	return "HTTP/1.1 " + status + "\r\nContent-Length: 2\r\n" + fields + "\r\nok"
 }
 
-// The status of a response must tell correctly whether the request may have been executed, and a connection must not be
+// The status of a response must show correctly whether the request may have been executed, and a connection must not be
 // reused after a response with an ambiguous end.
 func TestResponseMapsToStatus(t *testing.T) {
 	reply := testkit.Reply
