--- a/cmd/simadapter/adapter_test.go
+++ b/cmd/simadapter/adapter_test.go
@@ -18,6 +18,8 @@
 
 func newBatch(events ...simwire.Event) *simwire.Batch { return &simwire.Batch{Events: events} }
 
+// The simulator may stop an instance and start it again within one batch. The events must take effect in order, so that
+// the new instance remains.
 func TestInstanceRestartsWithinOneBatch(t *testing.T) {
 	a := newAdapter()
 	stop := simwire.Event{Code: simwire.EventStop, Instance: 1}
@@ -32,6 +34,7 @@
 	}
 }
 
+// An event for an instance that was never started must end the run with an error that names the instance.
 func TestUnknownInstanceIsError(t *testing.T) {
 	err := newAdapter().handleBatch(newBatch(simwire.Event{Code: simwire.EventTimerFired, Instance: 9}))
 	if err == nil || !strings.Contains(err.Error(), "unknown instance 9") {
@@ -43,6 +46,8 @@
 	}
 }
 
+// A panic of the policy must reach the simulator as one report. The policy must not be called again after it, because
+// its state may be inconsistent.
 func TestPanicIsReportedOnce(t *testing.T) {
 	a := newAdapter()
 	failing := &instance{id: 4, reply: &a.reply} // the nil engine makes the first event panic
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -25,6 +25,8 @@
 	return append(frame, fields...)
 }
 
+// run must write one reply per batch and end without an error where the input ends. It must not take a truncated frame
+// for that end.
 func TestRunAnswersStartAndEndsWithInput(t *testing.T) {
 	frame := startFrame()
 	var output bytes.Buffer
@@ -40,6 +42,7 @@
 	}
 }
 
+// The error for a truncated frame must keep the decoder's error, so that a caller can identify the cause.
 func TestRunReportsCauseOfShortInput(t *testing.T) {
 	err := run(bytes.NewReader(startFrame()[:20]), io.Discard)
 	var formatError *simwire.FormatError
--- a/cmd/simadapter/translate_test.go
+++ b/cmd/simadapter/translate_test.go
@@ -8,6 +8,8 @@
 	"springfield/policy"
 )
 
+// The settings of a run define the order of the columns. Values must be assigned by name, and unknown columns must be
+// ignored.
 func TestLoadReportValuesFollowColumnNames(t *testing.T) {
 	columns := []string{"rps", "avg_ms", "new_column"}
 	report := policyLoadReport([]float32{12, 50, 7}, columns)
@@ -19,6 +21,7 @@
 	}
 }
 
+// Guards against an entry of a mapping table that is missing or in the wrong place.
 func TestProtocolCodesMapToPolicyCodes(t *testing.T) {
 	for code := simwire.StatusOK; code <= simwire.StatusNotSent; code += 10 {
 		if want := policy.Status(code/10 - 1); statuses[code] != want {
@@ -37,6 +40,7 @@
 	}
 }
 
+// A token that decodes to another timer would fire the wrong timer. The last check fixes the layout of the bits.
 func TestTimerTokenRoundTrips(t *testing.T) {
 	for _, timer := range []policy.Timer{
 		{Kind: policy.TimerBandwidthManager},
@@ -55,6 +59,8 @@
 	}
 }
 
+// Guards against result fields that are lost or converted to a wrong unit. A usage of 0 means that the customer is not
+// metered.
 func TestEventConvertsToAttemptResult(t *testing.T) {
 	event := &simwire.Event{
 		Code: simwire.EventAttemptFinished, RequestID: 7, Attempt: 1, EndpointID: 9, Status: simwire.StatusReset,
@@ -77,6 +83,7 @@
 	}
 }
 
+// Guards against request fields that are lost or converted to a wrong unit.
 func TestEventConvertsToRequest(t *testing.T) {
 	event := &simwire.Event{
 		Code: simwire.EventRequest, RequestID: 7, Class: 1, Plan: 2, Customer: 3, TimeLeftMs: 240, Units: 1.5,
@@ -90,6 +97,7 @@
 	}
 }
 
+// Guards against endpoint fields that are lost or converted to a wrong unit.
 func TestEntriesConvertToEndpoints(t *testing.T) {
 	got := policyEndpoints([]simwire.Endpoint{
 		{ID: 7, Weight: 1.5, State: simwire.EndpointDraining, Zone: 1, Cell: 2, MachineType: 3, StartedAtMs: 6100},
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -25,6 +25,7 @@
 	})
 }
 
+// Deadlines are converted between policy times and socket deadlines. They must not change by that.
 func TestConversionsAreInverse(t *testing.T) {
 	c := clock.New()
 	moment := time.Now().Add(time.Minute)
@@ -37,6 +38,7 @@
 	}
 }
 
+// An interval of policy time must have the same length as a socket deadline's interval.
 func TestConversionsPreserveIntervals(t *testing.T) {
 	c := clock.New()
 	now := c.Now()
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -18,6 +18,7 @@
 	return func(name string) string { return variables[name] }
 }
 
+// Guards against fields of the file that are not decoded, such as one whose JSON key differs from its field name.
 func TestLoadReadsTheFile(t *testing.T) {
 	c, err := Load(environment(map[string]string{"RELAY_CONFIG": newFile(t, completeFile)}))
 	if err != nil {
@@ -38,6 +39,7 @@
 	}
 }
 
+// The environment variables must take precedence over the file, and may supply values that the file lacks.
 func TestEnvironmentOverridesFile(t *testing.T) {
 	c, err := Load(environment(map[string]string{
 		"RELAY_CONFIG": newFile(t, completeFile), "RELAY_NAME": "n9",
@@ -51,6 +53,7 @@
 	}
 }
 
+// A configuration that the gateway cannot run with must be rejected at startup, with an error that names the cause.
 func TestLoadRejectsIncompleteConfigurations(t *testing.T) {
 	for text, want := range map[string]error{
 		`{"discovery":"127.0.0.1:1","settings":{"Classes":[{}]}}`: ErrNoListenAddress,
@@ -74,6 +77,7 @@
 	}
 }
 
+// A missing seed must be 0, and one that is not hexadecimal must be an error instead of 0.
 func TestSeedIsHexadecimal(t *testing.T) {
 	if seed, err := (&Config{}).RandomSeed(); seed != 0 || err != nil {
 		t.Errorf("without a seed: %x, %v", seed, err)
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -132,6 +132,8 @@
 	})
 }
 
+// A file with another name, class or plan must not be applied, because the gateway keeps its old settings and would
+// apply them to the endpoints of another deployment.
 func TestReloadRejectsFilesOfAnotherGatewayOrDeployment(t *testing.T) {
 	path := newFile(t, configText("n1", "127.0.0.1:1", "lookup"))
 	current, err := read(path)
--- a/internal/config/timeouts_test.go
+++ b/internal/config/timeouts_test.go
@@ -19,6 +19,8 @@
 	}
 }
 
+// Explicit settings must take precedence over the defaults. If a class has no deadline, the longest deadline must be
+// settings.MaxDeadline.
 func TestTimeoutsAreDerivedFromSettings(t *testing.T) {
 	c := newTestConfig(t)
 	if c.DialTimeout() != 250*time.Millisecond || c.UpstreamIdleTimeout() != 9*time.Second ||
--- a/internal/configcheck/configcheck_test.go
+++ b/internal/configcheck/configcheck_test.go
@@ -28,6 +28,7 @@
 "Report": {"How": "inline", "Columns": ["inflight"]},
 "Safety": {"ColdFrom": 0.16, "WarmWithinMs": 100, "FallMultiple": 2.5, "FallMs": 10}}}`
 
+// A check that reports problems in valid files would be ignored by its users.
 func TestValidConfigurationsHaveNoProblems(t *testing.T) {
 	scenario := model.DefaultScenario()
 	written, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2",
@@ -141,6 +142,7 @@
 	return string(text)
 }
 
+// Text that is not valid JSON must give one error with the right line, and no follow-up reports.
 func TestSyntaxErrorIsReportedWithItsLine(t *testing.T) {
 	for text, line := range map[string]int{"": 1, "{\n\"name\": }": 2, validConfig + "\n\n}": 17, "{\n\n": 3} {
 		problems := Check([]byte(text))
@@ -175,6 +177,7 @@
 	}
 }
 
+// FuzzCheck checks that no text causes a panic and that text without reported errors can be decoded by the gateway.
 func FuzzCheck(f *testing.F) {
 	f.Add([]byte(validConfig))
 	f.Add([]byte(`{"settings": {"Classes": [null, {}], "Zones": [1]}, "known": {"servers": [[]]}}`))
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -113,6 +113,7 @@
 	}
 }
 
+// A gateway becomes ready at the first response of discovery. The signal must come after the response and not before.
 func TestFirstResponseIsSignalled(t *testing.T) {
 	registry := testkit.NewRegistry(t)
 	release := registry.HoldLists()
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -31,6 +31,8 @@
 	}
 }
 
+// Entries without a name or an address must be skipped without affecting the others. Implausible start times must not
+// make an entry invalid.
 func TestInvalidEntriesAreSkipped(t *testing.T) {
 	d := newDecoder(nil)
 	now := clockReading{monotonic: clock.New().Now(), wall: time.Now()}
--- a/internal/discovery/transfer_test.go
+++ b/internal/discovery/transfer_test.go
@@ -85,7 +85,7 @@
 }
 
 // A list that arrives slowly must be read, however long it takes: only silence ends a call. A time limit on the whole
-// transfer once cut off such a list at each attempt.
+// transfer would cut off such a list at each attempt.
 func TestSlowListIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const parts, pause = 9, 500 * time.Millisecond
--- a/internal/eventloop/call.go
+++ b/internal/eventloop/call.go
@@ -11,8 +11,9 @@
 // disconnected.
 const commandCapacity = 2
 
-// attemptAllowed guards against repeated execution, independently of the policy that decides on retries: a request has
-// one attempt at a time, and after an attempt that may have been executed it has another only if its class allows that.
+// attemptAllowed reports whether another attempt is safe, and if not, why. It guards against repeated execution,
+// independently of the policy that decides on retries: a request has one attempt at a time, and after an attempt that
+// may have been executed it has another only if its class allows that.
 func (c *Call) attemptAllowed(now time.Duration, class *policy.Class) (allowed bool, reason string) {
 	switch {
 	case c.attempt != nil && !c.attempt.finished:
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -36,6 +36,7 @@
 	testkit.WaitFor(t, "the senders", done)
 }
 
+// The discovery client must be able to stop while the queue of updates is full.
 func TestPublishEndpointsReturnsWhenContextIsCancelled(t *testing.T) {
 	loop := New(clock.New(), policy.Config{}, upstream.NewPool(upstream.Options{}))
 	for range cap(loop.updates) {
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -215,7 +215,7 @@
 	ids map[string]struct{}
 }
 
-// add inserts an id. It returns false if a request with this id is open already.
+// add inserts the id of a request. It returns false if a request with this id is open already.
 func (o *openRequests) add(id string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/gateway/malformed_test.go
+++ b/internal/gateway/malformed_test.go
@@ -24,13 +24,13 @@
 	post10Line = "POST " + addPath + " HTTP/1.0"
 )
 
-// goodHeaders are the headers of a valid lookup.
-var goodHeaders = []string{"Req-Id: a", "Plan: team", "Req-Deadline: 5", "Quota-Info: units=2,spread=1,first=0"}
+// validHeaders are the headers of a valid lookup.
+var validHeaders = []string{"Req-Id: a", "Plan: team", "Req-Deadline: 5", "Quota-Info: units=2,spread=1,first=0"}
 
-// headersWith returns goodHeaders without those that begin with dropped, unless that is "", followed by more headers.
+// headersWith returns validHeaders without those that begin with dropped, unless that is "", followed by more headers.
 func headersWith(dropped string, more ...string) []string {
 	var headers []string
-	for _, header := range goodHeaders {
+	for _, header := range validHeaders {
 		if dropped == "" || !strings.HasPrefix(header, dropped) {
 			headers = append(headers, header)
 		}
@@ -38,24 +38,24 @@
 	return append(headers, more...)
 }
 
-// headersWithKey returns goodHeaders with an idempotency key, followed by more headers.
+// headersWithKey returns validHeaders with an idempotency key, followed by more headers.
 func headersWithKey(more ...string) []string {
 	return append(headersWith("", "Idempotency-Key: k"), more...)
 }
 
 var malformedPaths = []malformedRequest{
-	{"GET /nothing" + testkit.CustomerPath + " HTTP/1.1", goodHeaders, "", "404"},
-	{"GET / HTTP/1.1", goodHeaders, "", "404"},
-	{"GET /lookup HTTP/1.1", goodHeaders, "", "404"},
-	{"OPTIONS * HTTP/1.1", goodHeaders, "", "404"},
+	{"GET /nothing" + testkit.CustomerPath + " HTTP/1.1", validHeaders, "", "404"},
+	{"GET / HTTP/1.1", validHeaders, "", "404"},
+	{"GET /lookup HTTP/1.1", validHeaders, "", "404"},
+	{"OPTIONS * HTTP/1.1", validHeaders, "", "404"},
 	{"GET /health/live HTTP/1.1", nil, "", "404"},
-	{"GET /lookup/ HTTP/1.1", goodHeaders, "", "400"},
-	{"GET /lookup/b4d65521 HTTP/1.1", goodHeaders, "", "400"},
-	{"GET /lookup/-0000000b4d65521 HTTP/1.1", goodHeaders, "", "400"},
-	{"GET /lookup/0000000200000000 HTTP/1.1", goodHeaders, "", "400"},
-	{"POST " + lookupPath + " HTTP/1.1", goodHeaders, "", "405"},
-	{"GET " + addPath + " HTTP/1.1", goodHeaders, "", "405"},
-	{"GET", goodHeaders, "", "400"},
+	{"GET /lookup/ HTTP/1.1", validHeaders, "", "400"},
+	{"GET /lookup/b4d65521 HTTP/1.1", validHeaders, "", "400"},
+	{"GET /lookup/-0000000b4d65521 HTTP/1.1", validHeaders, "", "400"},
+	{"GET /lookup/0000000200000000 HTTP/1.1", validHeaders, "", "400"},
+	{"POST " + lookupPath + " HTTP/1.1", validHeaders, "", "405"},
+	{"GET " + addPath + " HTTP/1.1", validHeaders, "", "405"},
+	{"GET", validHeaders, "", "400"},
 }
 
 var malformedHeaders = []malformedRequest{
--- a/internal/oserror/oserror_test.go
+++ b/internal/oserror/oserror_test.go
@@ -13,6 +13,8 @@
 	"springfield/internal/oserror"
 )
 
+// An error of this machine must not be attributed to an endpoint, nor an error of an endpoint to this machine. Errors
+// are wrapped as the net package wraps them.
 func TestErrorsAreClassified(t *testing.T) {
 	wrap := func(errno syscall.Errno) error {
 		return fmt.Errorf("dial: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", errno)})
--- a/internal/settings/duration_test.go
+++ b/internal/settings/duration_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// Guards against overflows for values outside the range of time.Duration and against truncation instead of rounding.
 func TestDurationRoundsAndClamps(t *testing.T) {
 	const longest = 1e15 * time.Microsecond
 	for _, c := range []struct {
--- a/internal/settings/policy_test.go
+++ b/internal/settings/policy_test.go
@@ -8,7 +8,9 @@
 	"springfield/policy"
 )
 
-func TestPolicyConfigFromJSON(t *testing.T) {
+// Guards against settings that are not decoded, or that are passed to the wrong field or unit of the policy's
+// configuration.
+func TestPolicyConfigFollowsJSONSettings(t *testing.T) {
 	var s Settings
 	text := `{"Balancers":3,"MyNumber":1,"Classes":[{"AimMs":400,"Repeat":"deduplicated","Group":"zone","KeyTtlMs":1500}],
 "Contracts":[{"HardRate":9,"AtOnce":2,"Pays":1.5}],"Discovery":"on_request"}`
@@ -30,7 +32,8 @@
 	}
 }
 
-func TestIdempotencyAndKeyScope(t *testing.T) {
+// An unknown value of Repeat must be treated as non-idempotent, so that no request is executed twice.
+func TestRepeatAndGroupMapToPolicyValues(t *testing.T) {
 	for repeat, want := range map[string]policy.Idempotency{
 		"idempotent":   policy.Idempotent,
 		"deduplicated": policy.IdempotentByKey,
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// Deployments may have settings that this version does not know. They must not make the file unusable.
 func TestKeysMatchInAnyCaseAndUnknownKeysAreIgnored(t *testing.T) {
 	var s Settings
 	text := `{"balancers":3,"NEWKEY":{"a":[1]},"classes":[{"KEYTTLMS":1500,"AimStretch":2}],"limits":{"sendcap":4}}`
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -32,7 +32,8 @@
 	return frame
 }
 
-func TestDecodeExampleBatch(t *testing.T) {
+// The decoder must read the example batch of the protocol description, and then report the end of the input.
+func TestDecoderReadsExampleBatch(t *testing.T) {
 	decoder := NewDecoder(bytes.NewReader(fromHex(t, exampleBatch)))
 	batch, err := decoder.Next()
 	if err != nil {
@@ -58,7 +59,9 @@
 	}
 }
 
-func TestDecodeExampleAttemptEndpointsAndCounter(t *testing.T) {
+// Guards against fields that are read from the wrong offset or with the wrong width, with examples of the protocol
+// description.
+func TestDecoderReadsExampleAttemptEndpointsAndCounter(t *testing.T) {
 	frame := frameFromHex(t, `00000000 00000000206ec040 04000000
 04 24000000 03000000 c4913a5d 00 074a1203 0a 0000000000803240 01 5600 0300 02 00000c4352b81e3f
 0b 34000000 00000000 02000000
@@ -85,6 +88,8 @@
 	}
 }
 
+// An update must get the entries that its table had at that point of the batch, even if a later record replaces the
+// table.
 func TestTableNumberCanBeReusedWithinBatch(t *testing.T) {
 	table := func(endpoint string) string {
 		return "0b 1e000000 00000000 01000000 0000 0000803f 01 00 " + endpoint + " 0000000000000000 0000 "
--- a/internal/simwire/malformed_test.go
+++ b/internal/simwire/malformed_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// Malformed input must be reported with its reason. It must neither panic nor be decoded in part.
 func TestMalformedInputIsFormatError(t *testing.T) {
 	for name, c := range map[string]struct{ input, reason string }{
 		"short length":      {"5900", "inside the length field"},
@@ -33,6 +34,7 @@
 	}
 }
 
+// The offset of an error must be that of the invalid field, so that the field can be found in a recorded frame.
 func TestFormatErrorHasOffsetOfInvalidField(t *testing.T) {
 	for name, c := range map[string]struct {
 		input  string
--- a/internal/simwire/reply_test.go
+++ b/internal/simwire/reply_test.go
@@ -5,7 +5,9 @@
 	"testing"
 )
 
-func TestEncodeExampleReplies(t *testing.T) {
+// Frames with several actions must be encoded as in the examples of the protocol description. Reset must leave no
+// action of an earlier reply.
+func TestReplyFramesEncodeAsInProtocolExamples(t *testing.T) {
 	var reply Reply
 	reply.Forward(3, 0x5d3a91c4, 0x03124a07, 8492.25)
 	reply.StartTimer(3, 500, 77)
--- a/internal/testkit/testkit_test.go
+++ b/internal/testkit/testkit_test.go
@@ -8,6 +8,7 @@
 	"springfield/internal/testkit"
 )
 
+// Guards tests against a registry that serves a list or a watch other than the one that the test has set.
 func TestRegistryServesListAndWatch(t *testing.T) {
 	registry := testkit.NewRegistry(t)
 	registry.SetVersion(3)
@@ -37,6 +38,8 @@
 	}
 }
 
+// Guards tests against a server that does not run its script for each request, or counts requests and connections
+// wrongly.
 func TestServerRunsScriptForEachRequest(t *testing.T) {
 	server := testkit.NewServer(t, testkit.Reply(testkit.ResponseOK, true))
 	for range 2 {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -30,6 +30,8 @@
 	}
 }
 
+// Sequential attempts must share one connection, which is closed once it has been idle for longer than the idle
+// timeout.
 func TestIdleConnectionsAreReusedAndExpire(t *testing.T) {
 	server := testkit.NewServer(t, testkit.Reply(testkit.ResponseOK, true))
 	endpoint := newTestEndpoint(t, server.Address())
@@ -44,6 +46,8 @@
 	testkit.WaitFor(t, "the closed connection", server.Closed)
 }
 
+// Reusing the most recently used connection lets the others expire. A connection within the reuse delay must not be
+// used, because a duplicate response may still arrive on it.
 func TestMostRecentlyUsedConnectionIsReusedFirst(t *testing.T) {
 	endpoint := newTestEndpoint(t, testkit.NewServer(t, testkit.Silent).Address())
 	older, newer := mustConnect(t, endpoint), mustConnect(t, endpoint)
@@ -94,6 +98,7 @@
 	}
 }
 
+// An attempt that needs a connection beyond the limit must end at once as not sent, so that it may be retried.
 func TestFullPoolOpensNoConnection(t *testing.T) {
 	address := testkit.NewServer(t, testkit.Silent).Address()
 	endpoint := newTestEndpointWith(t, address, Options{MaxConnections: 1})
@@ -137,12 +142,15 @@
 	}
 }
 
+// The other tests set the reuse delay themselves, so they would not detect a pool without one.
 func TestNewPoolHasDefaultReuseDelay(t *testing.T) {
 	if got := NewPool(Options{}).reuseDelay; got != defaultReuseDelay {
 		t.Errorf("got %v, want %v", got, defaultReuseDelay)
 	}
 }
 
+// Run must close a connection that the endpoint has closed, or its descriptor would stay in use while the endpoint gets
+// no requests. It must return when its context ends.
 func TestRunClosesStaleConnectionsUntilCancelled(t *testing.T) {
 	server := testkit.NewServer(t, testkit.Reply(testkit.ResponseOK, false))
 	endpoint := newTestEndpoint(t, server.Address())
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -82,6 +82,7 @@
 	}
 }
 
+// Each limit and each ambiguity of a response must be detected by its own check, and the connection must not be reused.
 func TestUnusableResponseReturnsItsReason(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -111,6 +112,7 @@
 	}
 }
 
+// A usage header must be read as percent, and one that is not a valid number must count as no usage.
 func TestUsageIsParsed(t *testing.T) {
 	for text, want := range map[string]float64{"86": 0.86, "0": 0, "x": -1, "NaN": -1, "-4": -1} {
 		reply := "HTTP/1.1 500 X\r\nUsage-Percent: " + text + "\r\nContent-Length: 0\r\n\r\n"
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -23,6 +23,8 @@
 func (printer) StartTimer(time.Duration, policy.Timer) {}
 func (printer) WatchEndpoints(bool)                    {}
 
+// The quota of the customer has a burst of one unit and earns two units per second, so that the second request is
+// rejected.
 func Example() {
 	cfg := policy.Config{
 		GatewayCount: 1, SendRetryAfter: true, MaxRetryAfter: time.Second,
--- a/policy/properties_test.go
+++ b/policy/properties_test.go
@@ -19,6 +19,7 @@
 // minOccurrences is the minimum number of times that each situation must occur over all scenarios.
 const minOccurrences = 20
 
+// TestMain sets the defaults of the flags of package rapid.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{
 		"rapid.seed": propertySeed, "rapid.checks": propertyChecks, "rapid.nofailfile": "true",
@@ -41,6 +42,8 @@
 	})
 }
 
+// Each of the following tests checks one rule over random scenarios.
+
 func TestEachRequestGetsOneAnswerInTime(t *testing.T)           { checkRule(t, ruleOneAnswer) }
 func TestOnlyReadyEndpointsGetRequests(t *testing.T)            { checkRule(t, ruleReadyEndpoint) }
 func TestNonIdempotentRequestIsNotRepeated(t *testing.T)        { checkRule(t, ruleNonIdempotent) }
