--- a/internal/config/timeouts_test.go
+++ b/internal/config/timeouts_test.go
@@ -7,7 +7,7 @@
 	"springfield/internal/settings"
 )
 
-// A retry with an idempotency key is safe only while the endpoint still knows the key. A dial can delay the retry's
+// A retry with an idempotency key is safe only while the endpoint remembers the key. A dial can delay the retry's
 // first byte, so the policy must use a shorter TTL.
 func TestKeyTTLIsReducedByDialTimeout(t *testing.T) {
 	classes := newTestConfig(t).PolicyConfig(1).Classes
@@ -19,6 +19,8 @@
 	}
 }
 
+// Explicit settings must take precedence over the defaults. If a class has no deadline, the longest deadline must be
+// settings.MaxDeadline.
 func TestTimeoutsAreDerivedFromSettings(t *testing.T) {
 	c := newTestConfig(t)
 	if c.DialTimeout() != 250*time.Millisecond || c.UpstreamIdleTimeout() != 9*time.Second ||
--- a/internal/emulator/decider.go
+++ b/internal/emulator/decider.go
@@ -20,8 +20,8 @@
 
 var _ Decider = (*policy.Engine)(nil)
 
-// Truth provides the true state of a deployment, which no real gateway can see. Only the oracle baselines use it.
-type Truth interface {
+// GroundTruth provides the true state of a deployment, which no real gateway can see. Only the oracle baselines use it.
+type GroundTruth interface {
 	// Backlog returns the time after which an endpoint is expected to begin a new request. An age above zero asks for
 	// the value of that long ago.
 	Backlog(endpoint policy.EndpointID, age time.Duration) time.Duration
@@ -30,5 +30,5 @@
 	QuotaLeft(customer policy.CustomerID, plan int, age time.Duration) float64
 }
 
-// NewDecider creates the decider of one gateway. The decider carries its decisions out through actions.
-type NewDecider func(cfg policy.Config, actions policy.Actions, truth Truth) Decider
+// NewDecider creates the decider of one gateway. The decider carries out its decisions by calling actions.
+type NewDecider func(cfg policy.Config, actions policy.Actions, groundTruth GroundTruth) Decider
--- a/internal/emulator/invariant/endpoints.go
+++ b/internal/emulator/invariant/endpoints.go
@@ -45,14 +45,14 @@
 	}
 }
 
-// ObserveLists wraps newDecider such that the checker learns the zones and cells of the endpoints from the lists that
+// ObserveLists wraps newDecider such that the checker takes the zones and cells of the endpoints from the lists that
 // the deciders receive.
 func (c *Checker) ObserveLists(newDecider emulator.NewDecider) emulator.NewDecider {
 	if !c.hasScopedKeys() {
 		return newDecider
 	}
-	return func(cfg policy.Config, actions policy.Actions, truth emulator.Truth) emulator.Decider {
-		return &listObserver{Decider: newDecider(cfg, actions, truth), checker: c}
+	return func(cfg policy.Config, actions policy.Actions, groundTruth emulator.GroundTruth) emulator.Decider {
+		return &listObserver{Decider: newDecider(cfg, actions, groundTruth), checker: c}
 	}
 }
 
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -64,7 +64,7 @@
 	receivedAt := h.clock.Now()
 	conn := connectionOf(r)
 	if conn != nil && !conn.beginRequest(bodyLength(r)) {
-		invariant.Violated(invariant.Starting, r.Header.Get("Req-Id"), "the request starts on a closed connection")
+		invariant.RecordViolation(invariant.Starting, r.Header.Get("Req-Id"), "the request starts on a closed connection")
 		panic(http.ErrAbortHandler)
 	}
 	if err := checkFraming(r); err != nil {
@@ -161,7 +161,7 @@
 	h.respond(w, r, status, upstream.Response{})
 }
 
-// respondRejected responds to a rejected request and tells the client when to retry.
+// respondRejected responds to a rejected request, with a Retry-After header unless retryAfter is 0.
 func (h *handler) respondRejected(w http.ResponseWriter, r *http.Request, retryAfter time.Duration) {
 	if retryAfter > 0 {
 		w.Header()["Retry-After"] = []string{strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64)}
@@ -215,7 +215,7 @@
 	ids map[string]struct{}
 }
 
-// add inserts an id. It returns false if a request with this id is open already.
+// add inserts the id of a request. It returns false if a request with this id is open already.
 func (o *openRequests) add(id string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway runs a gateway process. It starts and connects the components, serves clients until it is told to
-// stop, and shuts down gracefully.
+// Package gateway runs a gateway process. It starts and connects the components, serves clients until its context ends,
+// and shuts down gracefully.
 package gateway
 
 import (
@@ -106,7 +106,7 @@
 
 // logSummary logs the counters and decision totals at the end of the process.
 func logSummary(loop *eventloop.Loop) {
-	attributes := append(counters.Summary(), loop.Decisions()...)
+	attributes := append(counters.Summary(), loop.DecisionCounts()...)
 	slog.Info("summary", append(attributes, "violations", invariant.Total())...)
 }
 
