--- a/internal/emulator/invariant/attempts.go
+++ b/internal/emulator/invariant/attempts.go
@@ -18,7 +18,7 @@
 	forwarded := c.requests[o.Request]
 	if forwarded == nil {
 		c.violations.add(RuleFinalAnswer, at, o.Request,
-			"gateway %d forwarded request %d, which was not submitted or ended long ago", o.Gateway, o.Request)
+			"gateway %d forwarded request %d, which it does not hold", o.Gateway, o.Request)
 		return
 	}
 	c.checkNotClosed(at, forwarded, o)
@@ -33,7 +33,7 @@
 	notifiedAt, unavailable := c.gateway(o.Gateway).unavailable[o.Endpoint]
 	if unavailable && at > notifiedAt+c.drainGrace+c.slack {
 		c.violations.add(RuleDrain, at, o.Request, "gateway %d forwarded request %d to endpoint %d %v after it was"+
-			" notified that it drains or was removed", o.Gateway, o.Request, o.Endpoint, at-notifiedAt)
+			" notified that it drains or is gone", o.Gateway, o.Request, o.Endpoint, at-notifiedAt)
 	}
 }
 
@@ -145,7 +145,7 @@
 	}
 	if retry.startedAt > executed.startedAt+class.keyTTL+c.slack {
 		c.violations.add(RuleSingleExecution, check.due, r.key, "gateway %d forwarded request %d %v after an attempt that"+
-			" may have been executed, when its idempotency key had expired",
+			" may have been executed, when its idempotency key was forgotten",
 			r.gateway, r.key, retry.startedAt-executed.startedAt)
 		return
 	}
@@ -155,7 +155,7 @@
 		c.unlocated++
 	case !same:
 		c.violations.add(RuleSingleExecution, check.due, r.key, "gateway %d forwarded request %d to endpoint %d, which"+
-			" does not share the idempotency keys of endpoint %d", r.gateway, r.key, retry.endpoint, executed.endpoint)
+			" does not know the idempotency keys of endpoint %d", r.gateway, r.key, retry.endpoint, executed.endpoint)
 	}
 }
 
--- a/internal/emulator/invariant/checker.go
+++ b/internal/emulator/invariant/checker.go
@@ -162,6 +162,6 @@
 func (c *Checker) handleEndpointOverloaded(at time.Duration, o emulator.EndpointOverloaded) {
 	if o.InformedShare > maxInformedShare {
 		c.violations.record(RuleSlowStart, at, "endpoint %d was overloaded while it warmed up, with a share of %.2f"+
-			" of the work from gateways that were notified of its start", o.Endpoint, o.InformedShare)
+			" from gateways that were notified of its start", o.Endpoint, o.InformedShare)
 	}
 }
--- a/internal/emulator/invariant/lifecycle.go
+++ b/internal/emulator/invariant/lifecycle.go
@@ -59,7 +59,7 @@
 		answered.missing = true
 	case o.Answer == emulator.AnswerServed && !o.Genuine:
 		c.violations.add(RuleFinalAnswer, at, o.Request,
-			"gateway %d served request %d with an answer that no endpoint produced for it", o.Gateway, o.Request)
+			"gateway %d served request %d with an answer that no endpoint made for it", o.Gateway, o.Request)
 	case o.Answer == emulator.AnswerRejected:
 		c.check(at, answered, len(answered.attempts), checkRejection)
 	}
@@ -122,10 +122,10 @@
 	case r.disconnected || c.gatewayKilled(r): // no answer is required
 	case r.missing:
 		c.violations.add(RuleFinalAnswer, at, r.key,
-			"gateway %d closed the connection of request %d without a complete answer", r.gateway, r.key)
+			"gateway %d ended the connection of request %d without a complete answer", r.gateway, r.key)
 	case !r.answered:
 		c.violations.add(RuleFinalAnswer, at, r.key,
-			"gateway %d had not answered request %d by %v after its deadline", r.gateway, r.key, AnswerGrace+c.slack)
+			"gateway %d had not answered request %d %v after its deadline", r.gateway, r.key, AnswerGrace+c.slack)
 	}
 }
 
@@ -143,8 +143,8 @@
 	received.received = true
 	unitsLeft, respected := c.ceilings.take(at, received.customer, received.plan, received.units)
 	if !respected {
-		c.violations.add(RuleCeiling, at, o.Request, "request %d through gateway %d exceeded the ceiling of customer %d,"+
-			" which has %.2f units left", o.Request, o.Gateway, received.customer, unitsLeft)
+		c.violations.add(RuleCeiling, at, o.Request, "request %d through gateway %d left customer %d with %.2f units"+
+			" under its ceiling", o.Request, o.Gateway, received.customer, unitsLeft)
 	}
 }
 
