--- a/internal/emulator/model/discovery_test.go
+++ b/internal/emulator/model/discovery_test.go
@@ -11,7 +11,7 @@
 
 // delivery is one update that a watch has delivered.
 type delivery struct {
-	at      time.Duration // since discoveryStart
+	at      time.Duration // since discoveryTestStart
 	kind    policy.UpdateKind
 	version uint64
 	list    []policy.Endpoint
@@ -49,7 +49,7 @@
 	})
 }
 
-// advanceTo runs the scheduler up to the given time after discoveryStart.
+// advanceTo runs the scheduler up to the given time after discoveryTestStart.
 func (d *discoveryTest) advanceTo(elapsed time.Duration) {
 	d.scheduler.RunUntil(discoveryTestStart + elapsed)
 }
--- a/internal/emulator/model/server.go
+++ b/internal/emulator/model/server.go
@@ -8,8 +8,8 @@
 	"springfield/policy"
 )
 
-// unavailableBacklog is the backlog reported for an endpoint that starts no new requests. It is longer than any
-// deadline.
+// unavailableBacklog is the backlog reported for an endpoint that starts no new requests. It is far longer than usual
+// deadlines, so that a decider prefers other endpoints, but Validate accepts deadlines of up to maxScenarioDuration.
 const unavailableBacklog = time.Hour
 
 // ServerSpec configures the model of one endpoint.
--- a/internal/emulator/model/server_state.go
+++ b/internal/emulator/model/server_state.go
@@ -45,7 +45,7 @@
 }
 
 // Start replaces the process by a new, cold one that starts at the given Unix time. A slowdown, an error share and
-// silence are faults of the machine and stay in force.
+// silence are faults of the machine and outlast a restart.
 func (s *Server) Start(now time.Duration) {
 	s.Stop()
 	s.processor.warmUp.startedAt = now
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -50,7 +50,7 @@
 	stateBeforeClose connectionState // state before stateClosing
 	closeReason      counters.Event  // event that is counted when a connection in stateClosing is closed
 	stateSince       time.Time       // time of accept, of becoming idle, or of the last detection of unread bytes
-	readDeadline     time.Time       // last deadline that was set; not in force in stateClosing
+	readDeadline     time.Time       // last deadline that was set; not applied in stateClosing
 
 	// The goroutine that serves the connection owns the following fields. While a request is open, the background
 	// reader of net/http owns those for reading.
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -49,7 +49,7 @@
 }
 
 // sparselySpread reports whether an even split of the burst over the customer's gateways holds less than half
-// of the smallest request. Each gateway then receives a request of the customer once or twice a day.
+// of the smallest request. Each gateway then receives only one or two requests of the customer a minute.
 func (c *customer) sparselySpread() bool { return c.plan.Burst/c.setSize < minSplitUnits }
 
 // takeTokens takes the units of an admitted request from the customer's buckets.
