--- a/internal/emulator/loopback/world.go
+++ b/internal/emulator/loopback/world.go
@@ -213,7 +213,12 @@
 	w.launcher.close()
 }
 
+// observe passes an observation on. Once the context has ended it does nothing, because the world then ends its
+// processes and closes its connections itself.
 func (w *World) observe(observation emulator.Observation) {
+	if w.ctx.Err() != nil {
+		return
+	}
 	w.lastObserved = max(w.lastObserved, w.scheduler.Now())
 	w.options.Observer.Observe(w.lastObserved, observation)
 }
--- a/internal/emulator/loopback/world_test.go
+++ b/internal/emulator/loopback/world_test.go
@@ -50,6 +50,32 @@
 	}
 }
 
+// The end of a world kills its gateway processes. It must not be observed as a failure of these gateways.
+func TestEndOfTheContextIsNotObserved(t *testing.T) {
+	opts, o := newOptions(t, newScenario(time.Minute))
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	w, err := Start(ctx, opts)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer w.Close()
+	cancel()
+	for running := len(w.gateways); running > 0; time.Sleep(time.Millisecond) {
+		running = 0
+		w.scheduler.Do(func() {
+			for _, g := range w.gateways {
+				if g.process != nil {
+					running++
+				}
+			}
+		})
+	}
+	if stopped := o.count("GatewayStopped"); stopped != 0 {
+		t.Errorf("%d gateways were observed to stop, want 0: %v", stopped, o.seen)
+	}
+}
+
 // Start must fail with ErrNotReady if the program is not a gateway or does not exist.
 func TestStartFailsForProgramThatIsNoGateway(t *testing.T) {
 	for _, program := range []string{"/bin/false", filepath.Join(t.TempDir(), "missing")} {
