--- a/cmd/springfield/cli.go
+++ b/cmd/springfield/cli.go
@@ -30,6 +30,7 @@
 	Experiment experimentCommand `cmd:"" help:"Run experiments and compare their results."`
 	Report     reportCommand     `cmd:"" help:"Write an HTML report of results, and optionally its plots."`
 	Soak       soakCommand       `cmd:"" help:"Run gateways under randomized faults and look for broken rules."`
+	Mutants    mutantsCommand    `cmd:"" help:"Measure how many deliberate faults in the gateway the soak finds."`
 	Emulate    emulateCommand    `cmd:"" help:"Emulate endpoints, discovery and clients for gateways started by hand."`
 	Config     configCommand     `cmd:"" help:"Check configuration files of gateways."`
 	Completion completionCommand `cmd:"" help:"Print a shell completion script."`
--- a/cmd/springfield/completion_test.go
+++ b/cmd/springfield/completion_test.go
@@ -22,9 +22,11 @@
 	file := writeTestFile(t, "experiment.toml", "")
 	for _, test := range []struct{ line, want string }{
 		{"e", "experiment emulate"},
-		{"", "demo experiment report soak emulate config completion version"},
+		{"", "demo experiment report soak mutants emulate config completion version"},
 		{"experiment ", "run compare list"},
 		{"experiment run --fr", "--fresh"},
+		{"mutants ", "check run"},
+		{"mutants run --world ", "sockets virtual all"},
 		{"completion ", "bash zsh fish"},
 		{"report --format ", "svg png"},
 		{"report --format = p", "png"},
