--- a/cmd/springfield/main_test.go
+++ b/cmd/springfield/main_test.go
@@ -94,7 +94,7 @@
 		t.Errorf("without arguments the program does not print its help:\n%s", withoutArguments.stdout)
 	}
 	for _, command := range []string{"demo", "experiment run", "experiment compare", "experiment list", "report",
-		"emulate", "config check", "completion"} {
+		"soak", "mutants check", "mutants run", "emulate", "config check", "completion"} {
 		help := expect(t, statusSuccess, append(strings.Fields(command), "--help")...)
 		wantText(t, help.stdout, "Example", "springfield "+command)
 	}
@@ -125,6 +125,12 @@
 		{"config check", "<file>"},
 		{"config check " + missing, missing},
 		{"completion tcsh", "tcsh"},
+		{"mutants run", "--results"},
+		{"mutants run --results x --seeds 4-1", "4-1"},
+		{"mutants run --results x --parallel 0", "--parallel 0"},
+		{"mutants run --results " + missing + "/x", missing},
+		{"mutants run --results x --only no-such-mutant", "--only: there is no mutant no-such-mutant"},
+		{"mutants check --mutants " + missing, "missing: no mutant files"},
 		{"emulate " + missing, missing},
 		{"emulate " + broken, "broken.toml:3: colour: unknown key"},
 		{"experiment run " + broken, "broken.toml:3: colour: unknown key"},
--- a/internal/mutation/runner.go
+++ b/internal/mutation/runner.go
@@ -23,7 +23,7 @@
 }
 
 // SoakFunc soaks a program with a range of seeds. It calls done after each run, never concurrently, and ends its runs
-// early when ctx ends. It returns the number of runs that it has started. Its error is nil if all runs were carried out.
+// early when ctx ends. It returns the number of runs that it has started. Its error is nil if it has finished all runs.
 type SoakFunc func(ctx context.Context, program Program, seeds Seeds, done func(Run)) (started int, err error)
 
 // BuildFunc builds the program of a mutant, as Build does.
--- a/internal/mutation/virtual.go
+++ b/internal/mutation/virtual.go
@@ -14,8 +14,7 @@
 	"time"
 )
 
-// maxVirtualSilence is the time without a finished run after which a soak on virtual time counts as hanging. A run takes
-// well under a second.
+// maxVirtualSilence is the time without a finished run after which a soak on virtual time counts as hanging.
 const maxVirtualSilence = 5 * time.Minute
 
 // statusFindings is the exit status of a soak with findings.
