--- a/internal/mutation/apply_test.go
+++ b/internal/mutation/apply_test.go
@@ -40,7 +40,7 @@
 		{"list.empty", "== 0", "!= 0", "== 0 }\n\nfunc (l list", "!= 0 }\n\nfunc (l list"},
 		{"list.full", "9", "8", "== 9", "== 8"},
 		{"list", "items", "entries", "{ items", "{ entries"},
-		{"high", "2", "3", "high = 2", "high = 3"},
+		{"high", "= ", "= 1 + ", "high = 2", "high = 1 + 2"},
 		{"limit", "100", "1", "var limit = 100", "var limit = 1"},
 	} {
 		mutant := Mutant{Name: "m", File: "policy/check.go", Declaration: test.declaration, Original: test.original,
