--- a/cmd/springfield/soak.go
+++ b/cmd/springfield/soak.go
@@ -15,7 +15,8 @@
 type soakCommand struct {
 	Seeds    seedRange `required:"" placeholder:"A-B" help:"Seeds to run, such as 1-300 or 17."`
 	Gateway  string    `type:"path" placeholder:"FILE" help:"Gateway program, built with -tags faultinjection."`
-	Parallel int       `default:"4" help:"Number of concurrent runs, each with 10 to 14 gateway processes."`
+	Parallel int       `default:"4" help:"Most concurrent runs, each with 10 to 40 gateway processes."`
+	Gateways int       `name:"max-gateways" placeholder:"N" help:"Most gateways at once. Default: what half the memory holds."`
 	Shrink   bool      `help:"Rerun seeds with findings to determine which faults they need."`
 	Keep     string    `type:"path" placeholder:"DIR" help:"Keep the files of runs with findings in DIR."`
 }
@@ -57,16 +58,17 @@
 	if err != nil {
 		return err
 	}
-	if c.Parallel < 1 {
-		return inputErrorf("--parallel %d: want at least 1", c.Parallel)
-	}
 	run := func(ctx context.Context, plan soak.Plan) (soak.Result, error) {
 		return c.runPlan(ctx, plan, soak.Options{Gateway: program, GatewayArgs: arguments,
 			Logger: slog.New(slog.DiscardHandler)})
 	}
 	report := soak.NewReport()
 	var resultsWithFindings []soak.Result
-	err = soak.RunSeeds(ctx, c.Seeds.first, c.Seeds.last, c.Parallel, run, func(result soak.Result) {
+	limits, err := c.limits()
+	if err != nil {
+		return err
+	}
+	err = soak.RunSeeds(ctx, c.Seeds.first, c.Seeds.last, limits, run, func(result soak.Result) {
 		report.Add(result)
 		if len(result.Findings) > 0 {
 			resultsWithFindings = append(resultsWithFindings, result)
@@ -85,6 +87,23 @@
 	return err
 }
 
+// limits returns the limits of concurrent runs.
+func (c *soakCommand) limits() (soak.Limits, error) {
+	if c.Parallel < 1 {
+		return soak.Limits{}, inputErrorf("--parallel %d: want at least 1", c.Parallel)
+	}
+	if c.Gateways < 0 {
+		return soak.Limits{}, inputErrorf("--max-gateways %d: want at least 0", c.Gateways)
+	}
+	limits := soak.Limits{Runs: c.Parallel, Gateways: c.Gateways}
+	if limits.Gateways > 0 {
+		return limits, nil
+	}
+	var err error
+	limits.Gateways, err = soak.GatewaysInMemory()
+	return limits, err
+}
+
 // runPlan runs a plan in a directory of its own. The directory is kept if --keep is set and the run has findings.
 func (c *soakCommand) runPlan(ctx context.Context, plan soak.Plan, options soak.Options) (soak.Result, error) {
 	directory, err := os.MkdirTemp(c.Keep, fmt.Sprintf("soak-%d-", plan.Seed))
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -15,9 +15,7 @@
 	minFaultLength   = 1500 * time.Millisecond
 	maxFaultLength   = 3 * time.Second
 	minGateways      = 10
-	maxExtraGateways = 4 // largest number of gateways beyond minGateways
-	endpointCount    = 8
-	zoneCount        = 2
+	maxGateways      = 40
 )
 
 // Fault is one fault of a run.
@@ -50,7 +48,7 @@
 			}
 		}
 	}
-	plan := Plan{Seed: seed, Gateways: minGateways + random.IntN(maxExtraGateways+1)}
+	plan := Plan{Seed: seed, Gateways: minGateways + random.IntN(maxGateways-minGateways+1)}
 	at := firstFaultAt
 	for _, kind := range kinds {
 		length := minFaultLength + time.Duration(random.Int64N(int64(maxFaultLength-minFaultLength)))
@@ -92,31 +90,9 @@
 	return reduced
 }
 
-// scenario returns the scenario of a run. Deadlines are no longer than the shortest fault, so that requests expire
-// while a fault is active.
+// scenario returns the scenario of a run. The seed determines its settings.
 func (p *Plan) scenario() emulator.Scenario {
-	ms := func(value int) emulator.Duration { return emulator.Duration(time.Duration(value) * time.Millisecond) }
-	scenario := emulator.Scenario{
-		Name: "soak", Length: emulator.Duration(loadLength), Gateways: p.Gateways, Zones: zoneCount,
-		Endpoints: emulator.Endpoints{Count: endpointCount, Cores: 1, Slots: 4, WaitingRoom: 16, SpeedSpread: 0.2,
-			MaxConnections: 400, IdleTimeout: ms(5000), DrainGrace: ms(1000)},
-		WarmUp:    emulator.WarmUp{InitialCapacity: 0.2, Duration: ms(6500), OverloadFactor: 2.5, OverloadWindow: ms(1000)},
-		Network:   emulator.Network{Delay: ms(1), Jitter: 0.5, DialTimeout: ms(250), FrontDelay: ms(500)},
-		Discovery: emulator.Discovery{DelayMin: ms(20), DelayMax: ms(200)},
-		Meter:     emulator.Meter{Period: ms(1000), DelayMin: ms(100), DelayMax: ms(400)},
-		Limits:    emulator.Limits{Cancel: p.Seed%2 == 0, MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: ms(500)},
-		Classes: []emulator.Class{
-			{Name: "search", Share: 0.5, Idempotency: "idempotent", Objective: ms(400), Deadline: ms(1000), Value: 1,
-				Work: ms(12), WorkSpread: 0.5},
-			{Name: "cart", Share: 0.25, Idempotency: "deduplicated", Scope: "zone", KeyTTL: ms(900), Objective: ms(400),
-				Deadline: ms(1200), Value: 2, Work: ms(12), WorkSpread: 0.5},
-			{Name: "pay", Share: 0.25, Idempotency: "at_most_once", Objective: ms(500), Deadline: ms(1500), Value: 4,
-				Work: ms(16), WorkSpread: 0.5},
-		},
-		Plans: []emulator.Plan{{Name: "team", Share: 1, Rate: 20, Burst: 40, Price: 1, OverQuotaCost: 0.5}},
-		Clients: emulator.Clients{Load: 0.7, MaxUnits: 2, SetMin: 0.5, SetMax: 1, CalmUse: 0.5, Retries: 1,
-			RetryDelay: ms(100), Patience: 0.8, Abandon: 0.05},
-	}
+	scenario := newSettingsSource(p.Seed).scenario(p.Gateways)
 	for _, fault := range p.Faults {
 		if fault.Kind.isScheduled() {
 			scenario.Faults = append(scenario.Faults, scheduledFault(fault))
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -53,6 +53,24 @@
 	}
 }
 
+// Seeds must draw different settings: small and large fleets, polled and pushed lists, and all scopes of keys.
+func TestSeedsDrawDifferentSettings(t *testing.T) {
+	fleets, scopes, polled, attempts := map[int]bool{}, map[string]bool{}, map[bool]bool{}, map[int]bool{}
+	for seed := range uint64(1000) {
+		plan := NewPlan(seed)
+		scenario := plan.scenario()
+		fleets[scenario.Gateways] = true
+		polled[scenario.Discovery.Polled] = true
+		attempts[scenario.Limits.MaxAttempts] = true
+		for i := range scenario.Classes {
+			scopes[scenario.Classes[i].Scope] = true
+		}
+	}
+	if len(fleets) != maxGateways-minGateways+1 || len(polled) != 2 || len(attempts) != 5 || len(scopes) != 4 {
+		t.Errorf("fleets %v, polled %v, maximum attempts %v, scopes %v", fleets, polled, attempts, scopes)
+	}
+}
+
 // Guards against shrunk plans that keep a fault that the finding does not need, or lose one that it needs.
 func TestShrinkKeepsOnlyNeededFaults(t *testing.T) {
 	const what = "expected finding"
--- a/internal/soak/report_test.go
+++ b/internal/soak/report_test.go
@@ -39,7 +39,7 @@
 func TestRunSeedsRunsEachSeedOnceAndStopsAtError(t *testing.T) {
 	seen := map[uint64]int{}
 	run := func(_ context.Context, plan Plan) (Result, error) { return Result{Plan: plan}, nil }
-	if err := RunSeeds(t.Context(), 3, 9, 3, run, func(result Result) { seen[result.Plan.Seed]++ }); err != nil {
+	if err := RunSeeds(t.Context(), 3, 9, Limits{Runs: 3}, run, func(result Result) { seen[result.Plan.Seed]++ }); err != nil {
 		t.Fatal(err)
 	}
 	for seed := uint64(3); seed <= 9; seed++ {
@@ -49,7 +49,7 @@
 	}
 	failed := errors.New("failed")
 	var runs atomic.Int32
-	err := RunSeeds(t.Context(), 1, 1_000_000, 2, func(context.Context, Plan) (Result, error) {
+	err := RunSeeds(t.Context(), 1, 1_000_000, Limits{Runs: 2}, func(context.Context, Plan) (Result, error) {
 		runs.Add(1)
 		return Result{}, failed
 	}, func(Result) {})
--- a/internal/soak/run_seeds.go
+++ b/internal/soak/run_seeds.go
@@ -2,41 +2,87 @@
 
 import (
 	"context"
+	"math"
 	"sync"
+
+	"golang.org/x/sync/semaphore"
 )
 
-// RunSeeds runs the plan of each seed from first to last, at most parallel at a time, and calls done after each run,
-// never concurrently. It stops early when ctx ends or when a run cannot be carried out.
-func RunSeeds(ctx context.Context, first, last uint64, parallel int, run func(context.Context, Plan) (Result, error),
+// Limits limits the runs that are carried out concurrently. A run with more gateways than allowed runs alone.
+type Limits struct {
+	Runs     int // concurrent runs
+	Gateways int // gateway processes of all concurrent runs; 0: unlimited
+}
+
+// RunSeeds runs the plan of each seed from first to last, within the limits, and calls done after each run, never
+// concurrently. It stops early when ctx ends or when a run cannot be carried out.
+func RunSeeds(ctx context.Context, first, last uint64, limits Limits, run func(context.Context, Plan) (Result, error),
 	done func(Result)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	seeds := make(chan uint64)
-	var workers sync.WaitGroup
+	gate := newGate(limits)
+	var runs sync.WaitGroup
 	var mu sync.Mutex
-	for range parallel {
-		workers.Go(func() {
-			for seed := range seeds {
-				result, err := run(ctx, NewPlan(seed))
-				if err != nil {
-					cancel(err)
-					return
-				}
-				mu.Lock()
-				done(result)
-				mu.Unlock()
+	for seed := first; ; seed++ {
+		plan := NewPlan(seed)
+		if gate.enter(ctx, plan.Gateways) != nil {
+			break
+		}
+		runs.Go(func() {
+			defer gate.leave(plan.Gateways)
+			result, err := run(ctx, plan)
+			if err != nil {
+				cancel(err)
+				return
 			}
+			mu.Lock()
+			defer mu.Unlock()
+			done(result)
 		})
-	}
-feed:
-	for seed := first; seed <= last; seed++ {
-		select {
-		case seeds <- seed:
-		case <-ctx.Done():
-			break feed
+		if seed == last { // compared here because last may be the largest seed
+			break
 		}
 	}
-	close(seeds)
-	workers.Wait()
+	runs.Wait()
 	return context.Cause(ctx)
 }
+
+// gate admits runs within limits, in the order of their arrival.
+type gate struct {
+	maxGateways    int64
+	runs, gateways *semaphore.Weighted
+}
+
+func newGate(limits Limits) *gate {
+	maxGateways := int64(limits.Gateways)
+	if maxGateways == 0 {
+		maxGateways = math.MaxInt64
+	}
+	return &gate{
+		maxGateways: maxGateways,
+		runs:        semaphore.NewWeighted(int64(limits.Runs)),
+		gateways:    semaphore.NewWeighted(maxGateways),
+	}
+}
+
+// enter waits until a run with the given number of gateways is within the limits. It returns an error if ctx ends
+// first.
+func (g *gate) enter(ctx context.Context, gateways int) error {
+	if err := g.runs.Acquire(ctx, 1); err != nil {
+		return err
+	}
+	if err := g.gateways.Acquire(ctx, g.weight(gateways)); err != nil {
+		g.runs.Release(1)
+		return err
+	}
+	return nil
+}
+
+// leave ends a run that has entered.
+func (g *gate) leave(gateways int) {
+	g.gateways.Release(g.weight(gateways))
+	g.runs.Release(1)
+}
+
+// weight returns the number of gateways by which a run counts.
+func (g *gate) weight(gateways int) int64 { return min(int64(gateways), g.maxGateways) }
