--- a/cmd/springfield/soak.go
+++ b/cmd/springfield/soak.go
@@ -12,6 +12,9 @@
 	"springfield/internal/soak"
 )
 
+// keepDirectoryMode is the mode of the directory that holds the files of runs with findings.
+const keepDirectoryMode = 0o755
+
 type soakCommand struct {
 	Seeds    seedRange `required:"" placeholder:"A-B" help:"Seeds to run, such as 1-300 or 17."`
 	Gateway  string    `type:"path" placeholder:"FILE" help:"Gateway program, built with -tags faultinjection."`
@@ -106,6 +109,11 @@
 
 // runPlan runs a plan in a directory of its own. The directory is kept if --keep is set and the run has findings.
 func (c *soakCommand) runPlan(ctx context.Context, plan soak.Plan, options soak.Options) (soak.Result, error) {
+	if c.Keep != "" {
+		if err := os.MkdirAll(c.Keep, keepDirectoryMode); err != nil {
+			return soak.Result{}, err
+		}
+	}
 	directory, err := os.MkdirTemp(c.Keep, fmt.Sprintf("soak-%d-", plan.Seed))
 	if err != nil {
 		return soak.Result{}, err
--- a/internal/soak/memory.go
+++ b/internal/soak/memory.go
@@ -8,7 +8,7 @@
 
 const (
 	// gatewayMemory is the memory in bytes that is set aside for one gateway process and its clients.
-	gatewayMemory = 96 << 20
+	gatewayMemory = 32 << 20
 
 	// memoryDivisor sets the part of the machine's memory, one in memoryDivisor, that a soak may use.
 	memoryDivisor = 2
