--- a/internal/emulator/invariant/attempts.go
+++ b/internal/emulator/invariant/attempts.go
@@ -11,20 +11,25 @@
 // maxTime is later than any time of a run.
 const maxTime = time.Duration(math.MaxInt64)
 
-// handleAttemptForwarded records an attempt and checks that the gateway was allowed to start it.
+// handleAttemptForwarded records an attempt and checks that the gateway was allowed to start it. An attempt may be
+// observed after a later one of its request, so the attempts that were sent after it are checked again.
 func (c *Checker) handleAttemptForwarded(at time.Duration, o emulator.AttemptForwarded) {
 	c.forwarded++
-	c.checkDrain(at, o)
+	sentAt := at
+	if o.Sent > 0 {
+		sentAt = min(o.Sent, at)
+	}
+	c.checkDrain(sentAt, o)
 	forwarded := c.requests[o.Request]
 	if forwarded == nil {
 		c.violations.add(RuleFinalAnswer, at, o.Request,
 			"gateway %d forwarded request %d, which it does not hold", o.Gateway, o.Request)
 		return
 	}
-	c.checkNotClosed(at, forwarded, o)
-	forwarded.attempts = append(forwarded.attempts, attempt{number: o.Attempt, endpoint: o.Endpoint, startedAt: at})
-	if len(forwarded.attempts) > 1 {
-		c.check(at, forwarded, len(forwarded.attempts)-1, checkRetry)
+	c.checkNotClosed(sentAt, forwarded, o)
+	first := forwarded.insertAttempt(attempt{number: o.Attempt, endpoint: o.Endpoint, startedAt: sentAt})
+	for i := max(1, first); i < len(forwarded.attempts); i++ {
+		c.check(at, forwarded, forwarded.attempts[i].number, checkRetry)
 	}
 }
 
@@ -64,10 +69,10 @@
 
 // deferredCheck is a check of the state of a request's earlier attempts at the time of a retry or a rejection.
 type deferredCheck struct {
-	due      time.Duration
-	key      emulator.RequestKey
-	attempts int // number of attempts before the retry or rejection
-	kind     checkKind
+	due   time.Duration
+	key   emulator.RequestKey
+	retry int // number of the retry, for checkRetry
+	kind  checkKind
 }
 
 // deferredChecks is a queue of checks in order of time. Each check waits for the slack of the run, because the end of
@@ -91,8 +96,8 @@
 }
 
 // check performs a check once the slack has passed, or immediately if there is no slack.
-func (c *Checker) check(at time.Duration, r *request, attempts int, kind checkKind) {
-	check := deferredCheck{due: at + c.slack, key: r.key, attempts: attempts, kind: kind}
+func (c *Checker) check(at time.Duration, r *request, retry int, kind checkKind) {
+	check := deferredCheck{due: at + c.slack, key: r.key, retry: retry, kind: kind}
 	if c.slack == 0 {
 		c.runCheck(check)
 		return
@@ -108,36 +113,38 @@
 	}
 	switch check.kind {
 	case checkRetry:
-		c.checkSingleAttempt(check, tracked)
-		c.checkRetry(check, tracked)
+		retry := tracked.attemptIndex(check.retry)
+		c.checkSingleAttempt(check, tracked, retry)
+		c.checkRetry(check, tracked, retry)
 	case checkRejection:
 		c.checkRejection(check, tracked)
 	}
 }
 
-// checkSingleAttempt checks RuleSingleAttempt: no earlier attempt is in flight when a retry starts.
-func (c *Checker) checkSingleAttempt(check deferredCheck, r *request) {
+// checkSingleAttempt checks RuleSingleAttempt: no earlier attempt is in flight when a retry starts. retry is the index
+// of the retry.
+func (c *Checker) checkSingleAttempt(check deferredCheck, r *request, retry int) {
 	if c.hedging {
 		return
 	}
-	for i := range r.attempts[:check.attempts] {
+	for i := range r.attempts[:retry] {
 		if !r.attempts[i].ended {
 			c.violations.add(RuleSingleAttempt, check.due, r.key, "gateway %d forwarded request %d to endpoint %d while"+
 				" an attempt at endpoint %d was in flight", r.gateway, r.key,
-				r.attempts[check.attempts].endpoint, r.attempts[i].endpoint)
+				r.attempts[retry].endpoint, r.attempts[i].endpoint)
 			return
 		}
 	}
 }
 
-// checkRetry checks RuleSingleExecution: a retry cannot cause a second execution.
-func (c *Checker) checkRetry(check deferredCheck, r *request) {
+// checkRetry checks RuleSingleExecution: a retry cannot cause a second execution. retryIndex is the index of the retry.
+func (c *Checker) checkRetry(check deferredCheck, r *request, retryIndex int) {
 	class := c.classOf(r)
-	executed := firstPossiblyExecuted(r.attempts[:check.attempts])
+	executed := firstPossiblyExecuted(r.attempts[:retryIndex])
 	if executed == nil || class.idempotency == policy.Idempotent {
 		return
 	}
-	retry := &r.attempts[check.attempts]
+	retry := &r.attempts[retryIndex]
 	if class.idempotency == policy.NonIdempotent {
 		c.violations.add(RuleSingleExecution, check.due, r.key, "gateway %d forwarded non-idempotent request %d to"+
 			" endpoint %d though endpoint %d may have executed it", r.gateway, r.key, retry.endpoint, executed.endpoint)
@@ -165,7 +172,7 @@
 	class := c.classOf(r)
 	safeToRepeat := class.idempotency == policy.Idempotent ||
 		class.idempotency == policy.IdempotentByKey && class.scope == policy.KeyScopeFleet
-	executed := firstPossiblyExecuted(r.attempts[:check.attempts])
+	executed := firstPossiblyExecuted(r.attemptsUntil(r.answeredAt))
 	if executed == nil || safeToRepeat {
 		return
 	}
--- a/internal/emulator/invariant/lifecycle.go
+++ b/internal/emulator/invariant/lifecycle.go
@@ -61,7 +61,7 @@
 		c.violations.add(RuleFinalAnswer, at, o.Request,
 			"gateway %d served request %d with an answer that no endpoint made for it", o.Gateway, o.Request)
 	case o.Answer == emulator.AnswerRejected:
-		c.check(at, answered, len(answered.attempts), checkRejection)
+		c.check(at, answered, 0, checkRejection)
 	}
 	c.scheduleRemoval(at, answered)
 }
--- a/internal/emulator/invariant/request.go
+++ b/internal/emulator/invariant/request.go
@@ -1,6 +1,7 @@
 package invariant
 
 import (
+	"slices"
 	"time"
 
 	"springfield/internal/emulator"
@@ -54,6 +55,31 @@
 	index int           // position in the requestHeap
 }
 
+// insertAttempt adds an attempt after those that started before it or at the same time. It returns the index of the
+// attempt.
+func (r *request) insertAttempt(added attempt) int {
+	index := len(r.attempts)
+	for index > 0 && r.attempts[index-1].startedAt > added.startedAt {
+		index--
+	}
+	r.attempts = slices.Insert(r.attempts, index, added)
+	return index
+}
+
+// attemptIndex returns the index of the attempt with a number.
+func (r *request) attemptIndex(number int) int {
+	return slices.IndexFunc(r.attempts, func(a attempt) bool { return a.number == number })
+}
+
+// attemptsUntil returns the attempts that started no later than a time.
+func (r *request) attemptsUntil(at time.Duration) []attempt {
+	count := len(r.attempts)
+	for count > 0 && r.attempts[count-1].startedAt > at {
+		count--
+	}
+	return r.attempts[:count]
+}
+
 // inFlight reports whether any attempt has not ended.
 func (r *request) inFlight() bool {
 	for i := range r.attempts {
--- a/internal/emulator/loopback/attempt.go
+++ b/internal/emulator/loopback/attempt.go
@@ -45,6 +45,7 @@
 // beginAttempt records an attempt for a client's request and observes that a gateway has forwarded it.
 func (w *World) beginAttempt(clientRequest *request, c *upstreamConnection, newConnection bool) *attempt {
 	w.endClosedAttempts(clientRequest)
+	arrivedAt := w.lastArrival(c.conn)
 	a := &attempt{request: clientRequest, number: clientRequest.attempts, conn: c}
 	clientRequest.attempts++
 	clientRequest.inFlight = append(clientRequest.inFlight, a)
@@ -55,6 +56,7 @@
 		Gateway:       clientRequest.arrival.Gateway,
 		Endpoint:      c.endpoint.id,
 		NewConnection: newConnection,
+		Sent:          arrivedAt,
 	})
 	return a
 }
--- a/internal/emulator/loopback/upstream_connection.go
+++ b/internal/emulator/loopback/upstream_connection.go
@@ -97,6 +97,10 @@
 	c.current = world.beginAttempt(clientRequest, c, firstRequest)
 	c.current.answered = answered
 	c.current.deadline = world.scheduler.Now() + parseSeconds(received.head.Header.Get("Req-Deadline"))
+	if peerHasClosed(c.conn) { // the request was read late, and the gateway has given the attempt up meanwhile
+		c.current.endByClose()
+		return
+	}
 	delay := world.network.Delay()
 	if firstRequest {
 		delay += world.scenario.Endpoints.HandshakeDelay.AsDuration()
--- a/internal/emulator/observation.go
+++ b/internal/emulator/observation.go
@@ -58,6 +58,7 @@
 	Gateway       int
 	Endpoint      policy.EndpointID
 	NewConnection bool
+	Sent          time.Duration // time at which the attempt was sent, if it is observed later; 0: unknown
 }
 
 // AttemptReceived reports that an endpoint has received a complete attempt. Only the first received attempt of a
