--- a/internal/emulator/loopback/log_pipe.go
+++ b/internal/emulator/loopback/log_pipe.go
@@ -32,6 +32,8 @@
 	// Only the reading end is in non-blocking mode, so that closing it ends a pending read.
 	if err := syscall.SetNonblock(descriptors[0], true); err != nil {
 		_ = file.Close() // nothing has been written, so an error loses nothing
+		_ = syscall.Close(descriptors[0])
+		_ = syscall.Close(descriptors[1])
 		return nil, os.NewSyscallError("fcntl", err)
 	}
 	p := &logPipe{
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -55,12 +55,29 @@
 		plan.Faults = append(plan.Faults, Fault{Kind: kind, At: at, Length: length})
 		at += time.Duration(random.Int64N(int64(min(maxFaultStartGap, length))))
 	}
-	random.Shuffle(len(plan.Faults), func(i, j int) { // the order of the kinds is random
-		plan.Faults[i].Kind, plan.Faults[j].Kind = plan.Faults[j].Kind, plan.Faults[i].Kind
-	})
+	random.Shuffle(len(plan.Faults), plan.swapKinds) // the order of the kinds is random
+	if last := len(plan.Faults) - 1; !plan.overlapInTime(pair[0], pair[1]) {
+		plan.swapKinds(1, last) // the pair was at both ends, and consecutive faults overlap
+	}
 	return plan
 }
 
+func (p *Plan) swapKinds(i, j int) {
+	p.Faults[i].Kind, p.Faults[j].Kind = p.Faults[j].Kind, p.Faults[i].Kind
+}
+
+// overlapInTime reports whether the plan has faults of both kinds that are active at the same time.
+func (p *Plan) overlapInTime(first, second Kind) bool {
+	for _, a := range p.Faults {
+		for _, b := range p.Faults {
+			if a.Kind == first && b.Kind == second && a.At < b.At+b.Length && b.At < a.At+a.Length {
+				return true
+			}
+		}
+	}
+	return false
+}
+
 // shuffledPairs returns all pairs in a random order that is the same for all seeds.
 func shuffledPairs() []Pair {
 	pairs := Pairs()
@@ -68,11 +85,11 @@
 	return pairs
 }
 
-// CoveredPairs returns the pairs of kinds of fault that the plan contains.
+// CoveredPairs returns the pairs of kinds of fault that overlap in time.
 func (p *Plan) CoveredPairs() []Pair {
 	var covered []Pair
 	for _, pair := range Pairs() {
-		if p.has(pair[0]) && p.has(pair[1]) {
+		if p.overlapInTime(pair[0], pair[1]) {
 			covered = append(covered, pair)
 		}
 	}
--- a/internal/soak/report_test.go
+++ b/internal/soak/report_test.go
@@ -14,7 +14,11 @@
 // Guards against reports that leave out a finding or its seed, or that count runs, requests or pairs wrongly.
 func TestReportListsFindingsAndSeeds(t *testing.T) {
 	report := NewReport()
-	plan := Plan{Seed: 7, Faults: []Fault{{Kind: CloseLogs}, {Kind: SlowLists}}}
+	plan := Plan{Seed: 7, Faults: []Fault{
+		{Kind: CloseLogs, At: 0, Length: 2 * time.Second},
+		{Kind: SlowLists, At: time.Second, Length: 2 * time.Second},
+		{Kind: FailAccept, At: 4 * time.Second, Length: time.Second}, // overlaps no other fault
+	}}
 	report.Add(Result{Plan: plan, Requests: 10})
 	if !report.Clean() {
 		t.Error("the report is not clean although no run had a finding")
