--- a/internal/soak/report_test.go
+++ b/internal/soak/report_test.go
@@ -14,7 +14,11 @@
 // Guards against reports that leave out a finding or its seed, or that count runs, requests or pairs wrongly.
 func TestReportListsFindingsAndSeeds(t *testing.T) {
 	report := NewReport()
-	plan := Plan{Seed: 7, Faults: []Fault{{Kind: CloseLogs}, {Kind: SlowLists}}}
+	plan := Plan{Seed: 7, Faults: []Fault{
+		{Kind: CloseLogs, At: 0, Length: 2 * time.Second},
+		{Kind: SlowLists, At: time.Second, Length: 2 * time.Second},
+		{Kind: FailAccept, At: 4 * time.Second, Length: time.Second}, // overlaps no other fault
+	}}
 	report.Add(Result{Plan: plan, Requests: 10})
 	if !report.Clean() {
 		t.Error("the report is not clean although no run had a finding")
@@ -39,7 +43,7 @@
 func TestRunSeedsRunsEachSeedOnceAndStopsAtError(t *testing.T) {
 	seen := map[uint64]int{}
 	run := func(_ context.Context, plan Plan) (Result, error) { return Result{Plan: plan}, nil }
-	if err := RunSeeds(t.Context(), 3, 9, 3, run, func(result Result) { seen[result.Plan.Seed]++ }); err != nil {
+	if err := RunSeeds(t.Context(), 3, 9, Limits{Runs: 3}, run, func(result Result) { seen[result.Plan.Seed]++ }); err != nil {
 		t.Fatal(err)
 	}
 	for seed := uint64(3); seed <= 9; seed++ {
@@ -49,7 +53,7 @@
 	}
 	failed := errors.New("failed")
 	var runs atomic.Int32
-	err := RunSeeds(t.Context(), 1, 1_000_000, 2, func(context.Context, Plan) (Result, error) {
+	err := RunSeeds(t.Context(), 1, 1_000_000, Limits{Runs: 2}, func(context.Context, Plan) (Result, error) {
 		runs.Add(1)
 		return Result{}, failed
 	}, func(Result) {})
