--- a/cmd/springfield/mutants_run.go
+++ b/cmd/springfield/mutants_run.go
@@ -7,6 +7,7 @@
 	"slices"
 
 	"springfield/internal/mutation"
+	"springfield/internal/soak"
 )
 
 type mutantsRunCommand struct {
@@ -47,6 +48,10 @@
 	if len(entries) == 0 {
 		return inputErrorf("no mutants of world %s are selected", c.World)
 	}
+	limits, err := soak.NewLimits(c.Parallel)
+	if err != nil {
+		return err
+	}
 	store, discarded, err := mutation.OpenStore(c.Results)
 	if err != nil {
 		return &inputError{err}
@@ -56,7 +61,7 @@
 		// A failed write of this message does not prevent the soak.
 		_, _ = fmt.Fprintf(env.stderr, "%s: discarded an incomplete last line of %d bytes\n", c.Results, discarded)
 	}
-	runner := c.runner(env, root, store)
+	runner := c.runner(env, root, store, limits)
 	results, err := runner.Run(ctx, entries)
 	tableErr := mutantTable{results: results, entries: entries, markdown: c.Markdown}.write(env.stdout)
 	return errors.Join(err, tableErr, falseFindingsError(results))
@@ -80,7 +85,8 @@
 	return entries
 }
 
-func (c *mutantsRunCommand) runner(env *environment, root string, store *mutation.Store) *mutation.Runner {
+func (c *mutantsRunCommand) runner(env *environment, root string, store *mutation.Store,
+	limits soak.Limits) *mutation.Runner {
 	line := newProgressLine(env.stderr)
 	return &mutation.Runner{
 		Root:     root,
@@ -92,7 +98,7 @@
 			mutation.Virtual: {First: c.VirtualSeeds.first, Last: c.VirtualSeeds.last},
 		},
 		Soaks: map[mutation.World]mutation.SoakFunc{
-			mutation.Sockets: mutation.SoakSockets(c.Parallel),
+			mutation.Sockets: mutation.SoakSockets(limits),
 			mutation.Virtual: mutation.SoakVirtual(c.Parallel),
 		},
 		OnStart: func(mutant *mutation.Mutant) { line.show("soaking %s (%s)", mutant.Name, mutant.World) },
--- a/cmd/springfield/soak.go
+++ b/cmd/springfield/soak.go
@@ -98,13 +98,10 @@
 	if c.Gateways < 0 {
 		return soak.Limits{}, inputErrorf("--max-gateways %d: want at least 0", c.Gateways)
 	}
-	limits := soak.Limits{Runs: c.Parallel, Gateways: c.Gateways}
-	if limits.Gateways > 0 {
-		return limits, nil
+	if c.Gateways > 0 {
+		return soak.Limits{Runs: c.Parallel, Gateways: c.Gateways}, nil
 	}
-	var err error
-	limits.Gateways, err = soak.GatewaysInMemory()
-	return limits, err
+	return soak.NewLimits(c.Parallel)
 }
 
 // runPlan runs a plan in a directory of its own. The directory is kept if --keep is set and the run has findings.
--- a/internal/mutation/sockets.go
+++ b/internal/mutation/sockets.go
@@ -15,15 +15,15 @@
 // findingRun is the kind of the finding for a run that could not be carried out because of a mutation.
 const findingRun = "run"
 
-// SoakSockets returns a function that soaks gateways on loopback sockets, with the given number of concurrent runs.
-func SoakSockets(parallel int) SoakFunc {
+// SoakSockets returns a function that soaks gateways on loopback sockets, within the limits on concurrent runs.
+func SoakSockets(limits soak.Limits) SoakFunc {
 	return func(ctx context.Context, program Program, seeds Seeds, done func(Run)) (int, error) {
 		var started atomic.Int64
 		run := func(ctx context.Context, plan soak.Plan) (soak.Result, error) {
 			started.Add(1)
 			return runPlan(ctx, program, plan)
 		}
-		err := soak.RunSeeds(ctx, seeds.First, seeds.Last, parallel, run, func(result soak.Result) {
+		err := soak.RunSeeds(ctx, seeds.First, seeds.Last, limits, run, func(result soak.Result) {
 			done(newRun(&result))
 		})
 		return int(started.Load()), err
--- a/internal/mutation/sockets_test.go
+++ b/internal/mutation/sockets_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"springfield/internal/emulator/loopback"
+	"springfield/internal/soak"
 )
 
 // TestGatewayThatNeverStartsIsAFindingOnlyIfMutated soaks a program that exits at once. It guards against a mutant that
@@ -18,7 +19,7 @@
 	for _, mutated := range []bool{true, false} {
 		program := Program{Path: path, Directory: t.TempDir(), Mutated: mutated}
 		var runs []Run
-		started, err := SoakSockets(1)(t.Context(), program, Seeds{7, 7}, func(run Run) { runs = append(runs, run) })
+		started, err := SoakSockets(soak.Limits{Runs: 1})(t.Context(), program, Seeds{7, 7}, func(run Run) { runs = append(runs, run) })
 		if started != 1 {
 			t.Errorf("mutated %v: %d runs were started, want 1", mutated, started)
 		}
--- a/internal/soak/memory.go
+++ b/internal/soak/memory.go
@@ -14,12 +14,13 @@
 	memoryDivisor = 2
 )
 
-// GatewaysInMemory returns the number of gateway processes that a soak may run at once on this machine.
-func GatewaysInMemory() (int, error) {
+// NewLimits returns limits for a number of concurrent runs, with as many gateway processes as the part of the machine's
+// memory holds that a soak may use.
+func NewLimits(runs int) (Limits, error) {
 	var info unix.Sysinfo_t
 	if err := unix.Sysinfo(&info); err != nil {
-		return 0, fmt.Errorf("read the size of the memory: %w", err)
+		return Limits{}, fmt.Errorf("read the size of the memory: %w", err)
 	}
 	memory := info.Totalram * uint64(info.Unit)
-	return max(1, int(memory/memoryDivisor/gatewayMemory)), nil
+	return Limits{Runs: runs, Gateways: max(1, int(memory/memoryDivisor/gatewayMemory))}, nil
 }
