--- a/internal/experiment/runner_test.go
+++ b/internal/experiment/runner_test.go
@@ -9,6 +9,8 @@
 	"reflect"
 	"sync/atomic"
 	"testing"
+	"testing/synctest"
+	"time"
 
 	"springfield/internal/emulator/invariant"
 	"springfield/internal/emulator/model"
@@ -162,17 +164,20 @@
 func TestLoopbackRunsAreSequential(t *testing.T) {
 	experiment := trialExperiment(1, 2, 3, 4, 5)
 	experiment.Form = FormLoopback
-	var running atomic.Int64
-	runFunc := func(context.Context, Run) (measure.Result, invariant.Report, error) {
-		if running.Add(1) > 1 {
-			t.Error("two loopback runs are active at once")
+	synctest.Test(t, func(t *testing.T) {
+		var running atomic.Int64
+		runFunc := func(context.Context, Run) (measure.Result, invariant.Report, error) {
+			if running.Add(1) > 1 {
+				t.Error("two loopback runs are active at once")
+			}
+			time.Sleep(time.Second) // on the test's clock, which stands still while another run can start
+			running.Add(-1)
+			return measure.Result{}, invariant.Report{}, nil
 		}
-		running.Add(-1)
-		return measure.Result{}, invariant.Report{}, nil
-	}
-	if _, err := Execute(t.Context(), experiment, Options{RunFunc: runFunc, Version: "v1", Workers: 4}); err != nil {
-		t.Fatal(err)
-	}
+		if _, err := Execute(t.Context(), experiment, Options{RunFunc: runFunc, Version: "v1", Workers: 4}); err != nil {
+			t.Fatal(err)
+		}
+	})
 }
 
 // Guards against runs that broke a rule but are not reported.
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -241,8 +241,9 @@
 }
 
 // recordLatency adds an answer to the smoothed latencies of its endpoint and of the fleet, in seconds per
-// unit.
+// unit. A negative latency counts as 0, because requests would be queued past their deadlines otherwise.
 func (e *Engine) recordLatency(now time.Duration, ep *endpoint, perUnit float64) {
+	perUnit = max(0, perUnit)
 	e.latencyPerUnit = cmp.Or(e.latencyPerUnit, perUnit)
 	e.latencyPerUnit += fleetLatencySmoothing * (perUnit - e.latencyPerUnit)
 	ep.latencyPerUnit = cmp.Or(ep.latencyPerUnit, perUnit)
--- a/policy/properties_model_test.go
+++ b/policy/properties_model_test.go
@@ -107,7 +107,7 @@
 func (r *modelRequest) firstPossibleExecution() *modelAttempt {
 	for _, attempt := range r.attempts {
 		notExecuted := attempt.status == StatusRejected || attempt.status == StatusConnectFailed ||
-			attempt.status == StatusNotSent
+			attempt.status == StatusNotSent || attempt.status == StatusLocalFailure
 		if !attempt.ended || !notExecuted {
 			return attempt
 		}
--- a/policy/properties_scenario_test.go
+++ b/policy/properties_scenario_test.go
@@ -133,7 +133,7 @@
 func drawResult(t *rapid.T) AttemptResult {
 	return AttemptResult{
 		Status: rapid.SampledFrom([]Status{StatusOK, StatusOK, StatusServerError, StatusRejected, StatusConnectFailed,
-			StatusReset, StatusCancelled, StatusNotSent}).Draw(t, "status"),
+			StatusReset, StatusCancelled, StatusNotSent, StatusLocalFailure}).Draw(t, "status"),
 		Latency: rapid.SampledFrom([]time.Duration{5 * time.Millisecond, 200 * time.Millisecond, 0, -time.Hour,
 			math.MaxInt64}).Draw(t, "latency"),
 		HasUsage: rapid.Bool().Draw(t, "has usage"),
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -153,6 +153,21 @@
 	}
 }
 
+// A request whose attempt failed locally must not wait past its deadline, even if a latency that an answer reported was
+// negative.
+func TestLocalFailureBeforeTheDeadlineIsRejectedAtOnce(t *testing.T) {
+	gateway := startTestGateway(testConfig(), 1)
+	endpoint := gateway.engine.endpointList[0].ID
+	gateway.submit(1, nonIdempotentClass, unknownPlan, 1)
+	gateway.finishFirstAttempt(1, endpoint, StatusOK, -time.Hour)
+	gateway.submit(2, nonIdempotentClass, unknownPlan, 1)
+	gateway.engine.BeginShutdown(gateway.now, gateway.now+time.Millisecond)
+	gateway.finish(2, StatusLocalFailure, noUsage)
+	if len(gateway.rejected) != 1 {
+		t.Errorf("requests rejected: %v, want request 2: %v", gateway.rejected, gateway.log)
+	}
+}
+
 // An endpoint that this machine cannot reach, while it reaches others, must be avoided.
 func TestLocallyUnreachableEndpointIsAvoided(t *testing.T) {
 	const requests = 40
