--- a/internal/soak/kind.go
+++ b/internal/soak/kind.go
@@ -22,6 +22,7 @@
 	IdleFlood       Kind = "idle_flood"       // many connections of clients send nothing
 	StalledClients  Kind = "stalled_clients"  // clients stop in the middle of a request and stay connected
 	LateConnects    Kind = "late_connects"    // connections to endpoints are established late
+	LostDrain       Kind = "lost_drain"       // watches fall silent, and endpoints then drain until the load ends
 	SpoiltBytes     Kind = "spoilt_bytes"     // responses are truncated or stalled at any byte, trickled or sent twice
 	PipeliningCrowd Kind = "pipelining_crowd" // clients pipeline requests, or send garbage after a request and disconnect
 )
@@ -39,11 +40,12 @@
 // Kinds returns all kinds of fault in a fixed order.
 func Kinds() []Kind {
 	return append(slices.Clone(scheduledKinds), PauseGateways, CloseLogs, StallLogs, HalfConfigs, FailAccept, FailConnect,
-		SlowLists, ClockOffset, IdleFlood, StalledClients, PipeliningCrowd, LateConnects, SpoiltBytes)
+		SlowLists, ClockOffset, IdleFlood, StalledClients, PipeliningCrowd, LateConnects, SpoiltBytes,
+		LostDrain)
 }
 
 // isScheduled reports whether the scenario's fault schedule carries out faults of the kind.
-func (k Kind) isScheduled() bool { return slices.Contains(scheduledKinds, k) }
+func (k Kind) isScheduled() bool { return k == LostDrain || slices.Contains(scheduledKinds, k) }
 
 // Pair holds two different kinds of fault, in the order of Kinds.
 type Pair [2]Kind
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	loadLength       = 8 * time.Second
+	shortLoadLength  = 8 * time.Second
+	longLoadLength   = 14 * time.Second        // longer than gateways may take to notice that a watch is silent
 	firstFaultAt     = 1500 * time.Millisecond // time from the start of the load to the first fault
 	maxFaultStartGap = time.Second             // longest time between the starts of two consecutive faults
 	minFaultLength   = 1500 * time.Millisecond
@@ -110,14 +111,36 @@
 // scenario returns the scenario of a run. The seed determines its settings.
 func (p *Plan) scenario() emulator.Scenario {
 	scenario := newSettingsSource(p.Seed).scenario(p.Gateways)
+	scenario.Length = emulator.Duration(p.loadLength())
 	for _, fault := range p.Faults {
-		if fault.Kind.isScheduled() {
+		switch {
+		case fault.Kind == LostDrain:
+			scenario.Faults = append(scenario.Faults, p.lostDrain(fault)...)
+		case fault.Kind.isScheduled():
 			scenario.Faults = append(scenario.Faults, scheduledFault(fault))
 		}
 	}
 	return scenario
 }
 
+// loadLength returns the length of the load.
+func (p *Plan) loadLength() time.Duration {
+	if p.has(LostDrain) {
+		return longLoadLength
+	}
+	return shortLoadLength
+}
+
+// lostDrain returns the scheduled faults of a fault of kind LostDrain: no watch delivers the drain, which lasts until
+// the load ends.
+func (p *Plan) lostDrain(fault Fault) []emulator.Fault {
+	const drainDelay = 200 * time.Millisecond // time from the silence to the drain
+	silence := scheduledFault(Fault{Kind: Kind(emulator.FaultWatchSilence), At: fault.At, Length: fault.Length})
+	at := fault.At + drainDelay
+	drain := scheduledFault(Fault{Kind: Kind(emulator.FaultDrainEndpoints), At: at, Length: p.loadLength() - at})
+	return []emulator.Fault{silence, drain}
+}
+
 // Parameters of scheduled faults.
 const (
 	affectedShare  = 0.3 // share of the gateways or endpoints that are affected
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -42,7 +42,7 @@
 			if fault.At < before.At || fault.At >= before.At+before.Length {
 				t.Errorf("seed %d: %+v does not overlap %+v", seed, fault, before)
 			}
-			if fault.At+fault.Length > loadLength {
+			if fault.At+fault.Length > plan.loadLength() {
 				t.Errorf("seed %d: %+v outlasts the load", seed, fault)
 			}
 		}
--- a/internal/soak/report_test.go
+++ b/internal/soak/report_test.go
@@ -29,7 +29,7 @@
 	if err := report.Write(&text); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"2 runs, 15 requests", "1 of 406 pairs", "found: crash; seeds [9]; ended"} {
+	for _, want := range []string{"2 runs, 15 requests", "1 of 435 pairs", "found: crash; seeds [9]; ended"} {
 		if !strings.Contains(text.String(), want) {
 			t.Errorf("the report lacks %q:\n%s", want, text.String())
 		}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -146,7 +146,7 @@
 	addresses := r.world.Addresses().Gateways
 	switch fault.Kind {
 	case SlowLists: // the fault lasts to the end of the load, because gateways also start without a list
-		r.world.SlowLists(slowListDuration, loadLength)
+		r.world.SlowLists(slowListDuration, r.plan.loadLength())
 		for _, gateway := range r.pickGateways(fault) {
 			r.world.RestartWithoutList(gateway)
 		}
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -48,7 +48,6 @@
 func (s settingsSource) scenario(gateways int) emulator.Scenario {
 	scenario := emulator.Scenario{
 		Name:      "soak",
-		Length:    emulator.Duration(loadLength),
 		Gateways:  gateways,
 		Zones:     s.count(1, 3),
 		Endpoints: s.endpoints(gateways),
@@ -153,6 +152,10 @@
 	cart.Scope = scopes[s.random.IntN(len(scopes))]
 	cart.KeyTTL = s.duration(300*time.Millisecond, 2*time.Second)
 	pay := s.class("pay", "at_most_once", work)
+	const longDeadlineOneIn = 4
+	if s.oneIn(longDeadlineOneIn) { // a shutdown must end before these deadlines
+		pay.Deadline = s.duration(3*time.Second, 6*time.Second)
+	}
 	return []emulator.Class{search, cart, pay}
 }
 
