--- a/cmd/gateway/network_hooks_faultinjection.go
+++ b/cmd/gateway/network_hooks_faultinjection.go
@@ -10,8 +10,9 @@
 )
 
 // networkHooks returns hooks that make network calls fail as the control file says. An environment variable names that
-// file.
+// file. It also starts the snapshots of coverage counters, in builds with coverage.
 func networkHooks() gateway.NetworkHooks {
+	faultinjection.StartCoverageSnapshots()
 	injector := faultinjection.New(os.Getenv(faultinjection.ControlVariable))
 	return gateway.NetworkHooks{Listener: injector.Listener, Dial: injector.Dial}
 }
--- a/internal/emulator/loopback/gateway.go
+++ b/internal/emulator/loopback/gateway.go
@@ -154,7 +154,8 @@
 	err := g.writeConfig()
 	if err == nil {
 		g.process, err = newProcess(w.ctx, w.options.Gateway, w.options.GatewayArgs,
-			processPaths{config: g.configPath, log: g.logPath, faultControl: g.faultControlPath})
+			processPaths{config: g.configPath, log: g.logPath, faultControl: g.faultControlPath,
+				coverage: w.options.CoverageDirectory})
 	}
 	if err != nil {
 		w.logger.Error("starting a gateway failed", "gateway", g.index, "err", err)
--- a/internal/emulator/loopback/options.go
+++ b/internal/emulator/loopback/options.go
@@ -29,6 +29,10 @@
 	// KillDelay is added to the time from SIGTERM to SIGKILL of a gateway that shuts down.
 	KillDelay time.Duration
 
+	// CoverageDirectory is the directory to which gateways built with coverage write their counters; it must exist. If
+	// it is empty, they write none.
+	CoverageDirectory string
+
 	Directory string            // directory of the gateways' configurations and logs; it must exist
 	Observer  emulator.Observer // receives the observations of the run; may be nil
 	Logger    *slog.Logger      // logger of the run; nil selects slog.Default()
--- a/internal/emulator/loopback/process.go
+++ b/internal/emulator/loopback/process.go
@@ -62,6 +62,7 @@
 	config       string
 	log          string
 	faultControl string // control file for builds with network hooks for fault injection (build tag faultinjection)
+	coverage     string // directory of the counters of builds with coverage; empty if they are not written
 }
 
 // newProcess prepares a process that is killed when ctx ends, unless it has ended before.
@@ -74,6 +75,9 @@
 	command := exec.CommandContext(ctx, program, arguments...)
 	command.Env = append(gatewayEnvironment(os.Environ()), configVariable+"="+paths.config,
 		faultinjection.ControlVariable+"="+paths.faultControl)
+	if paths.coverage != "" {
+		command.Env = append(command.Env, faultinjection.CoverageVariable+"="+paths.coverage)
+	}
 	command.Stdout, command.Stderr = log.writer, log.writer
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	command.Cancel = func() error { return killGroup(command.Process.Pid) }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -34,6 +34,9 @@
 	GatewayArgs []string // arguments of the gateway program
 	Directory   string   // directory of the files of one run; it must exist
 	Logger      *slog.Logger
+
+	// CoverageDirectory is the directory to which gateways built with coverage write their counters; empty for none.
+	CoverageDirectory string
 }
 
 // Result is the result of one run.
@@ -83,6 +86,8 @@
 		Directory:   options.Directory,
 		Observer:    emulator.Observers{checker, starvation, lastObservation{&last}},
 		Logger:      options.Logger,
+
+		CoverageDirectory: options.CoverageDirectory,
 	})
 	if err != nil {
 		return Result{}, fmt.Errorf("seed %d: %w", plan.Seed, err)
