--- a/cmd/springfield/soak.go
+++ b/cmd/springfield/soak.go
@@ -18,6 +18,8 @@
 	Parallel int       `default:"4" help:"Number of concurrent runs, each with 10 to 14 gateway processes."`
 	Shrink   bool      `help:"Rerun seeds with findings to determine which faults they need."`
 	Keep     string    `type:"path" placeholder:"DIR" help:"Keep the files of runs with findings in DIR."`
+
+	coverageFlags `embed:""`
 }
 
 // seedRange is an inclusive range of seeds. Its text form is "A-B", or a single seed.
@@ -60,13 +62,19 @@
 	if c.Parallel < 1 {
 		return inputErrorf("--parallel %d: want at least 1", c.Parallel)
 	}
-	run := func(ctx context.Context, plan soak.Plan) (soak.Result, error) {
-		return c.runPlan(ctx, plan, soak.Options{Gateway: program, GatewayArgs: arguments,
-			Logger: slog.New(slog.DiscardHandler)})
+	coverage, err := c.newCollector(program)
+	if err != nil {
+		return err
+	}
+	options := soak.Options{Gateway: program, GatewayArgs: arguments, Logger: slog.New(slog.DiscardHandler)}
+	run := func(collector *coverageCollector) func(context.Context, soak.Plan) (soak.Result, error) {
+		return func(ctx context.Context, plan soak.Plan) (soak.Result, error) {
+			return c.runPlan(ctx, plan, options, collector)
+		}
 	}
 	report := soak.NewReport()
 	var resultsWithFindings []soak.Result
-	err = soak.RunSeeds(ctx, c.Seeds.first, c.Seeds.last, c.Parallel, run, func(result soak.Result) {
+	err = soak.RunSeeds(ctx, c.Seeds.first, c.Seeds.last, c.Parallel, run(coverage), func(result soak.Result) {
 		report.Add(result)
 		if len(result.Findings) > 0 {
 			resultsWithFindings = append(resultsWithFindings, result)
@@ -74,11 +82,14 @@
 		writeRunResult(env.stdout, &result)
 	})
 	if err == nil && c.Shrink {
-		err = shrinkFindings(ctx, env.stdout, resultsWithFindings, run)
+		err = shrinkFindings(ctx, env.stdout, resultsWithFindings, run(nil))
 	}
 	if writeErr := report.Write(env.stdout); err == nil {
 		err = writeErr
 	}
+	if err == nil {
+		err = coverage.write(env.stdout, c.CoverageOutput)
+	}
 	if err == nil && !report.Clean() {
 		err = fmt.Errorf("findings in %s of %d", plural(len(resultsWithFindings), "run"), report.Runs)
 	}
@@ -86,13 +97,14 @@
 }
 
 // runPlan runs a plan in a directory of its own. The directory is kept if --keep is set and the run has findings.
-func (c *soakCommand) runPlan(ctx context.Context, plan soak.Plan, options soak.Options) (soak.Result, error) {
+func (c *soakCommand) runPlan(ctx context.Context, plan soak.Plan, options soak.Options,
+	collector *coverageCollector) (soak.Result, error) {
 	directory, err := os.MkdirTemp(c.Keep, fmt.Sprintf("soak-%d-", plan.Seed))
 	if err != nil {
 		return soak.Result{}, err
 	}
 	options.Directory = directory
-	result, err := soak.Run(ctx, plan, options)
+	result, err := collector.run(ctx, plan, options)
 	if c.Keep == "" || len(result.Findings) == 0 {
 		_ = os.RemoveAll(directory) // a failed removal only leaves temporary files
 	}
