--- a/cmd/springfield/soak.go
+++ b/cmd/springfield/soak.go
@@ -13,20 +13,29 @@
 )
 
 type soakCommand struct {
-	Seeds    seedRange `required:"" placeholder:"A-B" help:"Seeds to run, such as 1-300 or 17."`
+	Seeds    seedRange `required:"" placeholder:"A-B" help:"Seeds to run, such as 1-300 or 17, or a variation: 17.3."`
 	Gateway  string    `type:"path" placeholder:"FILE" help:"Gateway program, built with -tags faultinjection."`
 	Parallel int       `default:"4" help:"Number of concurrent runs, each with 10 to 14 gateway processes."`
 	Shrink   bool      `help:"Rerun seeds with findings to determine which faults they need."`
 	Keep     string    `type:"path" placeholder:"DIR" help:"Keep the files of runs with findings in DIR."`
 
 	coverageFlags `embed:""`
+	guideFlags    `embed:""`
 }
 
-// seedRange is an inclusive range of seeds. Its text form is "A-B", or a single seed.
-type seedRange struct{ first, last uint64 }
+// seedRange is an inclusive range of seeds, or a variation of a seed's plan. Its text form is "A-B", a single seed, or
+// the name of the variation.
+type seedRange struct {
+	first, last uint64
+	variation   *soak.Plan // nil for a range
+}
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (r *seedRange) UnmarshalText(text []byte) error {
+	if plan, err := soak.NamedPlan(string(text)); err == nil && len(plan.Variation) > 0 {
+		r.variation = &plan
+		return nil
+	}
 	first, last, isRange := strings.Cut(string(text), "-")
 	if !isRange {
 		last = first
@@ -47,6 +56,9 @@
 The run is checked for broken rules, crashes and violated invariants. Each finding is printed with a command that
 repeats its seed.
 
+--guided continues with variations of the plans whose runs took branches of the gateway's guards that few runs take. It
+needs a gateway with coverage.
+
 Examples:
 
     go build -tags faultinjection -o gateway-soak ./cmd/gateway
@@ -66,6 +78,11 @@
 	if err != nil {
 		return err
 	}
+	next, closeGuide, err := c.selectPlans(coverage)
+	if err != nil {
+		return err
+	}
+	defer closeGuide()
 	options := soak.Options{Gateway: program, GatewayArgs: arguments, Logger: slog.New(slog.DiscardHandler)}
 	run := func(collector *coverageCollector) func(context.Context, soak.Plan) (soak.Result, error) {
 		return func(ctx context.Context, plan soak.Plan) (soak.Result, error) {
@@ -74,7 +91,7 @@
 	}
 	report := soak.NewReport()
 	var resultsWithFindings []soak.Result
-	err = soak.RunSeeds(ctx, c.Seeds.first, c.Seeds.last, c.Parallel, run(coverage), func(result soak.Result) {
+	err = soak.RunPlans(ctx, next, c.Parallel, run(coverage), func(result soak.Result) {
 		report.Add(result)
 		if len(result.Findings) > 0 {
 			resultsWithFindings = append(resultsWithFindings, result)
@@ -87,8 +104,8 @@
 	if writeErr := report.Write(env.stdout); err == nil {
 		err = writeErr
 	}
-	if err == nil {
-		err = coverage.write(env.stdout, c.CoverageOutput)
+	if writeErr := coverage.write(env.stdout, c.CoverageOutput); err == nil {
+		err = writeErr
 	}
 	if err == nil && !report.Clean() {
 		err = fmt.Errorf("findings in %s of %d", plural(len(resultsWithFindings), "run"), report.Runs)
@@ -99,7 +116,7 @@
 // runPlan runs a plan in a directory of its own. The directory is kept if --keep is set and the run has findings.
 func (c *soakCommand) runPlan(ctx context.Context, plan soak.Plan, options soak.Options,
 	collector *coverageCollector) (soak.Result, error) {
-	directory, err := os.MkdirTemp(c.Keep, fmt.Sprintf("soak-%d-", plan.Seed))
+	directory, err := os.MkdirTemp(c.Keep, fmt.Sprintf("soak-%s-", plan.Name()))
 	if err != nil {
 		return soak.Result{}, err
 	}
@@ -118,10 +135,10 @@
 	for _, fault := range result.Plan.Faults {
 		kinds = append(kinds, string(fault.Kind))
 	}
-	_, _ = fmt.Fprintf(w, "seed %d: %d gateways, %s: %d requests, %d findings\n", result.Plan.Seed, result.Plan.Gateways,
+	_, _ = fmt.Fprintf(w, "seed %s: %d gateways, %s: %d requests, %d findings\n", result.Plan.Name(), result.Plan.Gateways,
 		strings.Join(kinds, " + "), result.Requests, len(result.Findings))
 	for _, finding := range result.Findings {
-		_, _ = fmt.Fprintf(w, "  %s\n  repeat with: springfield soak --seeds %d --keep DIR\n", finding, result.Plan.Seed)
+		_, _ = fmt.Fprintf(w, "  %s\n  repeat with: springfield soak --seeds %s --keep DIR\n", finding, result.Plan.Name())
 	}
 }
 
@@ -139,7 +156,7 @@
 		for _, fault := range plan.Faults {
 			kinds = append(kinds, string(fault.Kind))
 		}
-		if _, err := fmt.Fprintf(w, "seed %d: %s needs %s\n", plan.Seed, finding, strings.Join(kinds, " + ")); err != nil {
+		if _, err := fmt.Fprintf(w, "seed %s: %s needs %s\n", plan.Name(), finding, strings.Join(kinds, " + ")); err != nil {
 			return err
 		}
 	}
--- a/cmd/springfield/soak_coverage.go
+++ b/cmd/springfield/soak_coverage.go
@@ -23,7 +23,9 @@
 // coverageCollector collects the branch counts of the runs of a soak. A nil collector collects nothing. Its methods are
 // safe for concurrent use.
 type coverageCollector struct {
-	guards []branchcoverage.Guard
+	guards       []branchcoverage.Guard
+	declarations map[branchcoverage.Declaration]bool // declarations of the guards
+	guide        *soak.Guide                         // records each run; nil if the soak is not guided
 
 	mu     sync.Mutex // guards counts
 	counts *branchcoverage.Counts
@@ -48,7 +50,13 @@
 	if err := source.CheckGuards(guards); err != nil {
 		return nil, &inputError{err}
 	}
-	collector := &coverageCollector{guards: guards, counts: branchcoverage.NewCounts(source)}
+	collector := &coverageCollector{guards: guards, declarations: map[branchcoverage.Declaration]bool{},
+		counts: branchcoverage.NewCounts(source)}
+	for _, guard := range guards {
+		for _, declaration := range guard.Declarations {
+			collector.declarations[declaration] = true
+		}
+	}
 	for _, path := range f.CoverageInput {
 		if err := collector.readFile(path); err != nil {
 			return nil, &inputError{err}
@@ -84,12 +92,30 @@
 	}
 	profile, err := branchcoverage.ReadCounters(ctx, options.CoverageDirectory)
 	if err != nil {
-		return result, fmt.Errorf("seed %d: %w", plan.Seed, err)
+		return result, fmt.Errorf("seed %s: %w", plan.Name(), err)
+	}
+	branches, err := c.add(&plan, profile)
+	if err == nil && c.guide != nil {
+		err = c.guide.Record(plan, branches)
 	}
+	return result, err
+}
+
+// add adds the profile of a run and returns the identifiers of the guards' branches that the run took.
+func (c *coverageCollector) add(plan *soak.Plan, profile branchcoverage.Profile) ([]string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, err = c.counts.Add(fmt.Sprint(plan.Seed), profile)
-	return result, err
+	taken, err := c.counts.Add(plan.Name(), profile)
+	if err != nil {
+		return nil, err
+	}
+	var branches []string
+	for _, branch := range taken {
+		if c.declarations[branchcoverage.Declaration{File: branch.File, Name: branch.Declaration}] {
+			branches = append(branches, branch.ID())
+		}
+	}
+	return branches, nil
 }
 
 // write writes the report of the collector, and all counts to a file if path is set.
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -32,6 +32,9 @@
 	Seed     uint64
 	Gateways int
 	Faults   []Fault
+
+	// Variation holds the numbers of the variations that led from the plan of the seed to this plan. See Plan.Vary.
+	Variation []uint64
 }
 
 // NewPlan returns the plan of a seed. The seed selects a pair of kinds of fault, so that consecutive seeds cover all
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -16,9 +16,9 @@
 	findings map[string]*findingSummary
 }
 
-// findingSummary holds the first of the findings of one kind and the seeds of the runs that had one.
+// findingSummary holds the first of the findings of one kind and the plans of the runs that had one.
 type findingSummary struct {
-	seeds []uint64
+	plans []Plan
 	first Finding
 }
 
@@ -41,8 +41,8 @@
 			found = &findingSummary{first: finding}
 			r.findings[finding.What] = found
 		}
-		if !slices.Contains(found.seeds, result.Plan.Seed) {
-			found.seeds = append(found.seeds, result.Plan.Seed)
+		if last := len(found.plans) - 1; last < 0 || comparePlans(found.plans[last], result.Plan) != 0 {
+			found.plans = append(found.plans, result.Plan)
 		}
 	}
 }
@@ -68,8 +68,9 @@
 	}
 	for _, what := range slices.Sorted(maps.Keys(r.findings)) {
 		found := r.findings[what]
-		slices.Sort(found.seeds)
-		if _, err := fmt.Fprintf(w, "found: %s; seeds %v; %s\n", what, found.seeds, found.first.Detail); err != nil {
+		slices.SortFunc(found.plans, comparePlans)
+		_, err := fmt.Fprintf(w, "found: %s; seeds %v; %s\n", what, planNames(found.plans), found.first.Detail)
+		if err != nil {
 			return err
 		}
 	}
