--- a/internal/branchcoverage/branchcoverage_test.go
+++ b/internal/branchcoverage/branchcoverage_test.go
@@ -110,21 +110,21 @@
 // never entered without anybody noticing.
 func TestBlocksAndSkippedBodiesAreCounted(t *testing.T) {
 	counts := newSampleCounts(t, sampleSource)
-	taken := addRun(t, counts, "2", Profile{openingBlock: 5, bodyBlock: 2, returningBlock: 5})
+	taken := addRun(t, counts, "10", Profile{openingBlock: 5, bodyBlock: 2, returningBlock: 5})
 	if len(taken) != 4 {
 		t.Errorf("the run took %d branches, want 4", len(taken))
 	}
-	addRun(t, counts, "1", Profile{openingBlock: 1, bodyBlock: 1, returningBlock: 1})
+	addRun(t, counts, "2", Profile{openingBlock: 1, bodyBlock: 1, returningBlock: 1})
 	var described []Branch
 	for _, branch := range counts.Branches() {
 		described = append(described, Branch{Declaration: branch.Declaration, Text: branch.Text, Count: branch.Count,
 			Seeds: branch.Seeds})
 	}
 	want := []Branch{
-		{Declaration: "box.open", Text: "entered: func (b *box) open(x int) int {", Count: 6, Seeds: []string{"1", "2"}},
-		{Declaration: "box.open", Text: "entered: if x > 0 {", Count: 3, Seeds: []string{"1", "2"}},
-		{Declaration: "box.open", Text: "skipped: if x > 0 {", Count: 3, Seeds: []string{"2"}},
-		{Declaration: "box.open", Text: "return x", Count: 6, Seeds: []string{"1", "2"}},
+		{Declaration: "box.open", Text: "entered: func (b *box) open(x int) int {", Count: 6, Seeds: []string{"2", "10"}},
+		{Declaration: "box.open", Text: "entered: if x > 0 {", Count: 3, Seeds: []string{"2", "10"}},
+		{Declaration: "box.open", Text: "skipped: if x > 0 {", Count: 3, Seeds: []string{"10"}},
+		{Declaration: "box.open", Text: "return x", Count: 6, Seeds: []string{"2", "10"}},
 	}
 	if !reflect.DeepEqual(described, want) {
 		t.Errorf("the branches are %+v, want %+v", described, want)
@@ -197,7 +197,8 @@
 	if !found || strings.Join(strings.Fields(list), " ") != "opening sample.go:6 box.open entered: if x > 0 {" {
 		t.Errorf("the report is\n%s", text.String())
 	}
-	if !strings.Contains(text.String(), "guard opening: 3 of 4 branches were taken") {
+	if !strings.Contains(text.String(), "guard opening: 3 of 4 branches were taken") ||
+		!strings.Contains(text.String(), "opening  3  1  sample.go:9  box.open  return x\n") {
 		t.Errorf("the report is\n%s", text.String())
 	}
 	guard.Declarations = append(guard.Declarations, Declaration{"sample.go", "other"})
--- a/internal/branchcoverage/counts.go
+++ b/internal/branchcoverage/counts.go
@@ -124,11 +124,14 @@
 }
 
 func (b *Branch) addSeed(run string) {
-	if index, found := slices.BinarySearch(b.Seeds, run); !found {
+	if index, found := slices.BinarySearchFunc(b.Seeds, run, compareSeeds); !found {
 		b.Seeds = slices.Insert(b.Seeds, index, run)
 	}
 }
 
+// compareSeeds orders shorter names first, which is the numerical order of seeds.
+func compareSeeds(a, b string) int { return cmp.Or(cmp.Compare(len(a), len(b)), cmp.Compare(a, b)) }
+
 // Branches returns all branches, sorted by their positions.
 func (c *Counts) Branches() []*Branch {
 	return slices.SortedFunc(maps.Values(c.branches), func(a, b *Branch) int { return compareRanges(a.key(), b.key()) })
