--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -1,5 +1,6 @@
-// Package faultinjection makes system calls of a gateway fail as a control file specifies. Only builds of cmd/gateway
-// with the build tag faultinjection link it, for soaks with real processes.
+// Package faultinjection makes system calls of a gateway fail as a control file specifies, and writes snapshots of the
+// coverage counters of a gateway that may be killed. Only builds of cmd/gateway with the build tag faultinjection link
+// it, for soaks with real processes.
 package faultinjection
 
 import (
