--- a/internal/soak/run_seeds.go
+++ b/internal/soak/run_seeds.go
@@ -14,18 +14,39 @@
 	Gateways int // gateway processes of all concurrent runs; 0: unlimited
 }
 
-// RunSeeds runs the plan of each seed from first to last, within the limits, and calls done after each run, never
-// concurrently. It stops early when ctx ends or when a run cannot be carried out.
+// RunSeeds runs the plan of each seed from first to last; see RunPlans.
 func RunSeeds(ctx context.Context, first, last uint64, limits Limits, run func(context.Context, Plan) (Result, error),
 	done func(Result)) error {
+	return RunPlans(ctx, SeedPlans(first, last), limits, run, done)
+}
+
+// SeedPlans returns a function that returns the plans of the seeds from first to last one after another.
+func SeedPlans(first, last uint64) func(context.Context) (Plan, bool) {
+	seed, ended := first, last < first
+	return func(context.Context) (Plan, bool) {
+		if ended {
+			return Plan{}, false
+		}
+		plan := NewPlan(seed)
+		ended = seed == last
+		seed++
+		return plan, true
+	}
+}
+
+// RunPlans runs the plans that next returns until it returns false, within the limits, and calls done after each run,
+// never concurrently. It stops early when ctx ends or when a run cannot be carried out, and then cancels the context of
+// next.
+func RunPlans(ctx context.Context, next func(context.Context) (Plan, bool), limits Limits,
+	run func(context.Context, Plan) (Result, error), done func(Result)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	gate := newGate(limits)
 	var runs sync.WaitGroup
 	var mu sync.Mutex
-	for seed := first; ; seed++ {
-		plan := NewPlan(seed)
-		if gate.enter(ctx, plan.Gateways) != nil {
+	for {
+		plan, ok := next(ctx)
+		if !ok || gate.enter(ctx, plan.Gateways) != nil {
 			break
 		}
 		runs.Go(func() {
@@ -39,9 +60,6 @@
 			defer mu.Unlock()
 			done(result)
 		})
-		if seed == last { // compared here because last may be the largest seed
-			break
-		}
 	}
 	runs.Wait()
 	return context.Cause(ctx)
