--- a/internal/emulator/invariant/attempts.go
+++ b/internal/emulator/invariant/attempts.go
@@ -22,6 +22,7 @@
 		return
 	}
 	c.checkNotClosed(at, forwarded, o)
+	c.checkDeadline(at, forwarded, o)
 	forwarded.attempts = append(forwarded.attempts, attempt{number: o.Attempt, endpoint: o.Endpoint, startedAt: at})
 	if len(forwarded.attempts) > 1 {
 		c.check(at, forwarded, len(forwarded.attempts)-1, checkRetry)
@@ -53,6 +54,14 @@
 	}
 }
 
+// checkDeadline checks RuleDeadline for a new attempt.
+func (c *Checker) checkDeadline(at time.Duration, r *request, o emulator.AttemptForwarded) {
+	if o.StatedDeadline > r.deadline+c.transit+c.slack && !c.gatewayKilled(r) {
+		c.violations.add(RuleDeadline, at, o.Request, "gateway %d forwarded request %d with a deadline %v after that of"+
+			" its client", o.Gateway, o.Request, o.StatedDeadline-r.deadline)
+	}
+}
+
 // checkKind is a kind of deferred check.
 type checkKind uint8
 
--- a/internal/emulator/invariant/checker.go
+++ b/internal/emulator/invariant/checker.go
@@ -33,6 +33,7 @@
 	classes    []class
 	drainGrace time.Duration
 	slack      time.Duration // extension of each time limit
+	transit    time.Duration // how long a request may take from its client until its gateway reads it
 	hedging    bool          // a request may have several attempts in flight
 
 	sequence     uint64 // number of observations so far, including the current one
@@ -61,6 +62,12 @@
 	return func(c *Checker) { c.slack = slack }
 }
 
+// WithTransit extends the deadlines that attempts may state by the time that a request may take from its client until
+// its gateway reads it. A gateway counts the time that the client has left from when it reads the request.
+func WithTransit(transit time.Duration) Option {
+	return func(c *Checker) { c.transit = transit }
+}
+
 // WithHedging permits several attempts of a request in flight at a time.
 func WithHedging() Option {
 	return func(c *Checker) { c.hedging = true }
@@ -103,6 +110,8 @@
 		c.handleClientDisconnected(at, o)
 	case emulator.EndpointNotified:
 		c.gateway(o.Gateway).recordNotification(at, o.Endpoint, o.State)
+	case emulator.EndpointStarted:
+		c.SetEndpointLocation(o.Endpoint, o.Zone, o.Cell)
 	case emulator.EndpointOverloaded:
 		c.handleEndpointOverloaded(at, o)
 	case emulator.GatewayStarted:
--- a/internal/emulator/invariant/endpoints.go
+++ b/internal/emulator/invariant/endpoints.go
@@ -36,7 +36,7 @@
 type location struct{ zone, cell int }
 
 // SetEndpointLocation sets the zone and the cell of an endpoint. The checker needs them to decide whether a retry stays
-// within the scope of an idempotency key, and the observations do not contain them. ObserveLists sets them from the
+// within the scope of an idempotency key. emulator.EndpointStarted sets them, and ObserveLists sets them from the
 // endpoint lists.
 func (c *Checker) SetEndpointLocation(endpoint policy.EndpointID, zone, cell int) {
 	current := location{zone: zone, cell: cell}
--- a/internal/emulator/invariant/report.go
+++ b/internal/emulator/invariant/report.go
@@ -46,12 +46,17 @@
 	// is stricter than the operators' rule, which tolerates two such attempts: every one is a violation. Source:
 	// STANDING, "The whole fleet".
 	RuleDisconnect Rule = "disconnect"
+	// RuleDeadline forbids attempts that state a later deadline than that of the client. It also forbids attempts that
+	// start after the client's deadline. Over sockets, a gateway counts the time that the client states from when it
+	// reads the request; see WithTransit. Source: WIRE; PROTOCOL, "Edge nodes to
+	// listing servers".
+	RuleDeadline Rule = "deadline"
 )
 
 // allRules lists the rules in the order of a Report.
 var allRules = [...]Rule{
 	RuleFinalAnswer, RuleSingleExecution, RuleSafeRejection, RuleSingleAttempt,
-	RuleDrain, RuleSlowStart, RuleCeiling, RuleDisconnect,
+	RuleDrain, RuleSlowStart, RuleCeiling, RuleDisconnect, RuleDeadline,
 }
 
 // maxReportedRequests is the maximum number of requests that a RuleReport lists.
@@ -74,7 +79,8 @@
 	// Undecided is the number of requests that were still open, but not overdue, at the end of the run.
 	Undecided int `json:"undecided"`
 	// Unlocated is the number of retries whose key scope was not checked, because the zone and cell of an endpoint were
-	// unknown. Checker.SetEndpointLocation and Checker.ObserveLists provide them.
+	// unknown. emulator.EndpointStarted, Checker.SetEndpointLocation and
+	// Checker.ObserveLists provide them.
 	Unlocated int `json:"unlocated"`
 }
 
--- a/internal/emulator/loopback/attempt.go
+++ b/internal/emulator/loopback/attempt.go
@@ -43,18 +43,20 @@
 }
 
 // beginAttempt records an attempt for a client's request and observes that a gateway has forwarded it.
-func (w *World) beginAttempt(clientRequest *request, c *upstreamConnection, newConnection bool) *attempt {
+func (w *World) beginAttempt(clientRequest *request, c *upstreamConnection, newConnection bool,
+	deadline time.Duration) *attempt {
 	w.endClosedAttempts(clientRequest)
-	a := &attempt{request: clientRequest, number: clientRequest.attempts, conn: c}
+	a := &attempt{request: clientRequest, number: clientRequest.attempts, conn: c, deadline: deadline}
 	clientRequest.attempts++
 	clientRequest.inFlight = append(clientRequest.inFlight, a)
 	w.summary.Attempts++
 	w.observe(emulator.AttemptForwarded{
-		Request:       clientRequest.arrival.Request,
-		Attempt:       a.number,
-		Gateway:       clientRequest.arrival.Gateway,
-		Endpoint:      c.endpoint.id,
-		NewConnection: newConnection,
+		Request:        clientRequest.arrival.Request,
+		Attempt:        a.number,
+		Gateway:        clientRequest.arrival.Gateway,
+		Endpoint:       c.endpoint.id,
+		NewConnection:  newConnection,
+		StatedDeadline: deadline,
 	})
 	return a
 }
--- a/internal/emulator/loopback/client.go
+++ b/internal/emulator/loopback/client.go
@@ -31,6 +31,7 @@
 type clientConnection struct {
 	net.Conn
 	reader    *bufio.Reader
+	sent      sentRequest   // the latest request on the connection
 	used      bool          // at least one request has been answered on the connection
 	idleSince time.Duration // when the connection became idle; meaningful only while it is kept
 }
@@ -41,7 +42,7 @@
 const (
 	unreadCauseNone         unreadCause = iota // the gateway may have read the request
 	unreadCauseNoConnection                    // the gateway did not accept a new connection
-	unreadCauseClosed                          // the gateway closed a kept connection without an answer
+	unreadCauseClosed                          // the gateway closed a kept connection and had not read the whole request
 )
 
 // outcome describes how a client's exchange with a gateway ended.
@@ -152,7 +153,9 @@
 		return nil, "", err
 	}
 	wait := r.arrival.Deadline - time.Duration(time.Now().UnixNano())
-	if _, err := c.Write(r.message.encode(max(time.Millisecond, wait))); err != nil {
+	encoded := r.message.encode(max(time.Millisecond, wait))
+	c.sent = beginSending(c.Conn, len(encoded))
+	if _, err := c.Write(encoded); err != nil {
 		return nil, "", err
 	}
 	if _, err := c.reader.Peek(1); err != nil {
@@ -176,7 +179,7 @@
 		}
 		return result
 	}
-	if conn.used && conn.reader.Buffered() == 0 {
+	if conn.used && conn.reader.Buffered() == 0 && !conn.sent.readBeforeClose(err) {
 		result.unread = unreadCauseClosed
 	}
 	return result
--- a/internal/emulator/loopback/connections.go
+++ b/internal/emulator/loopback/connections.go
@@ -1,8 +1,13 @@
 package loopback
 
 import (
+	"errors"
+	"io"
 	"net"
 	"syscall"
+	"time"
+
+	"springfield/internal/tcpinfo"
 )
 
 // closeWithReset closes a connection with a TCP reset instead of an orderly close.
@@ -32,3 +37,39 @@
 	})
 	return closed || err != nil
 }
+
+// lastArrival returns the Unix time at which the machine received the latest data on a connection. The goroutine that
+// reads them may run much later on a busy machine.
+func lastArrival(conn net.Conn) time.Duration {
+	age, err := tcpinfo.SinceLastReceived(conn)
+	if err != nil {
+		age = 0 // the connection is closed, so the data are not used
+	}
+	return time.Duration(time.Now().Add(-age).UnixNano())
+}
+
+// sentRequest describes a request that was sent on a connection.
+type sentRequest struct {
+	conn   net.Conn
+	length uint64 // bytes of the request
+	before uint64 // bytes that the peer had acknowledged before the request
+	known  bool   // before is valid
+}
+
+// beginSending returns the description of a request that is about to be sent. The peer has acknowledged all earlier
+// bytes, because it has answered the requests before.
+func beginSending(conn net.Conn, length int) sentRequest {
+	before, err := tcpinfo.BytesAcknowledged(conn)
+	return sentRequest{conn: conn, length: uint64(length), before: before, known: err == nil}
+}
+
+// readBeforeClose reports whether the peer's program certainly read the whole request before it closed the connection.
+// readErr is the error of the read that found the connection closed. A peer that had not read all bytes would have
+// reset the connection.
+func (s sentRequest) readBeforeClose(readErr error) bool {
+	if !s.known || !errors.Is(readErr, io.EOF) {
+		return false
+	}
+	after, err := tcpinfo.BytesAcknowledged(s.conn)
+	return err == nil && after-s.before >= s.length
+}
--- a/internal/emulator/loopback/endpoint.go
+++ b/internal/emulator/loopback/endpoint.go
@@ -51,7 +51,7 @@
 // connections.
 func (e *endpoint) markStarted(listener net.Listener, warming bool) {
 	e.listener = listener
-	e.world.observe(emulator.EndpointStarted{Endpoint: e.id, Warming: warming})
+	e.world.observe(emulator.EndpointStarted{Endpoint: e.id, Zone: e.zone, Cell: e.cell, Warming: warming})
 	e.world.discovery.Set(e.server.Endpoint())
 	e.world.goroutines.Go(func() { e.acceptConnections(listener) })
 }
--- a/internal/emulator/loopback/upstream_connection.go
+++ b/internal/emulator/loopback/upstream_connection.go
@@ -35,8 +35,9 @@
 
 // receivedRequest is a complete request as read from a connection.
 type receivedRequest struct {
-	head *http.Request
-	body string
+	head      *http.Request
+	body      string
+	arrivedAt time.Duration // Unix time at which the machine received its last byte
 }
 
 // serve handles requests until the connection ends.
@@ -62,6 +63,7 @@
 		}
 		_ = c.conn.SetReadDeadline(time.Time{}) // after an error the connection is closed, and the next read fails too
 		answered = make(chan struct{})
+		received.arrivedAt = lastArrival(c.conn)
 		c.endpoint.world.scheduler.Do(func() { c.handleRequest(received, answered) })
 	}
 }
@@ -94,9 +96,9 @@
 		c.lostByPartition = true // the partition loses the request, so there is no response
 		return
 	}
-	c.current = world.beginAttempt(clientRequest, c, firstRequest)
+	deadline := received.arrivedAt + parseSeconds(received.head.Header.Get("Req-Deadline"))
+	c.current = world.beginAttempt(clientRequest, c, firstRequest, deadline)
 	c.current.answered = answered
-	c.current.deadline = world.scheduler.Now() + parseSeconds(received.head.Header.Get("Req-Deadline"))
 	delay := world.network.Delay()
 	if firstRequest {
 		delay += world.scenario.Endpoints.HandshakeDelay.AsDuration()
--- a/internal/emulator/observation.go
+++ b/internal/emulator/observation.go
@@ -58,6 +58,9 @@
 	Gateway       int
 	Endpoint      policy.EndpointID
 	NewConnection bool
+	// StatedDeadline is the Unix time until which the gateway waits for the response, as the attempt states it; 0 if the
+	// world does not observe it.
+	StatedDeadline time.Duration
 }
 
 // AttemptReceived reports that an endpoint has received a complete attempt. Only the first received attempt of a
@@ -105,6 +108,8 @@
 // EndpointStarted reports that an endpoint's process has started.
 type EndpointStarted struct {
 	Endpoint policy.EndpointID
+	Zone     int
+	Cell     int
 	Warming  bool // the endpoint goes through slow start
 }
 
--- a/internal/emulator/virtual/endpoint.go
+++ b/internal/emulator/virtual/endpoint.go
@@ -28,7 +28,7 @@
 	w.endpoints = append(w.endpoints, e)
 	w.groundTruth.addEndpoint()
 	warming := startedAt > 0 && w.scenario.WarmUp.Duration > 0
-	w.observe(emulator.EndpointStarted{Endpoint: e.id, Warming: warming})
+	w.observe(emulator.EndpointStarted{Endpoint: e.id, Zone: e.zone, Cell: e.cell, Warming: warming})
 	w.publish(e, policy.StateReady)
 }
 
@@ -82,7 +82,8 @@
 	}
 	e.incarnation++
 	e.server.Start(w.scheduler.Now())
-	w.observe(emulator.EndpointStarted{Endpoint: e.id, Warming: w.scenario.WarmUp.Duration > 0})
+	warming := w.scenario.WarmUp.Duration > 0
+	w.observe(emulator.EndpointStarted{Endpoint: e.id, Zone: e.zone, Cell: e.cell, Warming: warming})
 	w.publish(e, policy.StateReady)
 }
 
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -69,7 +69,8 @@
 func Run(ctx context.Context, plan Plan, options Options) (Result, error) {
 	started := time.Now()
 	scenario := plan.scenario()
-	checker := invariant.NewChecker(&scenario, invariant.WithSlack(invariant.SocketSlack))
+	checker := invariant.NewChecker(&scenario, invariant.WithSlack(invariant.SocketSlack),
+		invariant.WithTransit(plan.transit()))
 	starvation := newStarvationDetector()
 	var last time.Duration
 	world, err := loopback.Start(ctx, loopback.Options{
@@ -204,11 +205,13 @@
 	}
 }
 
+// failedCallsDivisor is the ratio of the length of a fault to the time for which failCalls makes system calls fail.
+const failedCallsDivisor = 4
+
 // failCalls makes a system call of a gateway fail for a quarter of the length of the fault, because failures of this
 // kind are brief.
 func (r *runner) failCalls(fault Fault, gateway int, call, failure string) {
-	const divisor = 4
-	r.world.FailSystemCalls(gateway, call+" "+failure, fault.Length/divisor)
+	r.world.FailSystemCalls(gateway, call+" "+failure, fault.Length/failedCallsDivisor)
 }
 
 // configRereadTime is the longest time for which a configuration file is half written. A gateway rereads a
