--- a/internal/emulator/loopback/attempt.go
+++ b/internal/emulator/loopback/attempt.go
@@ -47,6 +47,9 @@
 	deadline time.Duration) *attempt {
 	w.endClosedAttempts(clientRequest)
 	a := &attempt{request: clientRequest, number: clientRequest.attempts, conn: c, deadline: deadline}
+	if clientRequest.attempts == 0 {
+		clientRequest.firstAttemptAt = w.scheduler.Now()
+	}
 	clientRequest.attempts++
 	clientRequest.inFlight = append(clientRequest.inFlight, a)
 	w.summary.Attempts++
@@ -90,7 +93,7 @@
 		a.request.metered = true
 		world.meter.Record(world.scheduler.Now(), clientArrival.Customer, clientArrival.TrueUnits)
 	}
-	if !a.conn.admitted {
+	if !a.conn.admitted || world.rejectsByFault() {
 		a.scheduleResponse(model.JobRejected)
 		return
 	}
@@ -109,6 +112,9 @@
 // scheduleResponse sends the endpoint's response after the network delay.
 func (a *attempt) scheduleResponse(result model.JobResult) {
 	a.rejected = result == model.JobRejected
+	if a.failByFault(result) {
+		return
+	}
 	world := a.conn.endpoint.world
 	world.scheduler.After(world.network.Delay(), func() { a.sendResponse(result) })
 }
@@ -164,6 +170,9 @@
 	a.ended = true
 	a.conn.current = nil
 	a.request.inFlight = deleteItem(a.request.inFlight, a)
+	if a.request.leavesOnFailure && (status == policy.StatusRejected || status == policy.StatusReset) {
+		a.request.departure.leave()
+	}
 	a.conn.endpoint.world.observe(emulator.AttemptEnded{
 		Request:  a.request.arrival.Request,
 		Attempt:  a.number,
--- a/internal/emulator/loopback/client.go
+++ b/internal/emulator/loopback/client.go
@@ -60,6 +60,7 @@
 	arrival.Gateway = w.workload.Redirect(&arrival, func(number int) bool { return w.gateways[number].takesRequests() })
 	r := &request{arrival: arrival, message: newMessage(w.scenario, &arrival)}
 	w.requests[arrival.Request] = r
+	w.aimAtRequest(r)
 	w.exchange(r)
 }
 
@@ -152,6 +153,8 @@
 	if err := c.SetDeadline(time.Unix(0, int64(readDeadline))); err != nil {
 		return nil, "", err
 	}
+	r.departure.beginWait(c.Conn)
+	defer r.departure.endWait()
 	wait := r.arrival.Deadline - time.Duration(time.Now().UnixNano())
 	encoded := r.message.encode(max(time.Millisecond, wait))
 	c.sent = beginSending(c.Conn, len(encoded))
@@ -173,7 +176,8 @@
 func (w *World) failedOutcome(r *request, conn *clientConnection, err error) outcome {
 	result := outcome{answer: emulator.AnswerMissing}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		result.disconnected = r.arrival.AbandonAt > 0 && w.scheduler.Now() >= r.arrival.AbandonAt
+		abandoned := r.arrival.AbandonAt > 0 && w.scheduler.Now() >= r.arrival.AbandonAt
+		result.disconnected = abandoned || r.departure.hasLeft()
 		if result.disconnected {
 			w.scheduler.Do(func() { w.observeDisconnected(r) }) // the observation must precede the close of the connection
 		}
--- a/internal/emulator/loopback/gateway.go
+++ b/internal/emulator/loopback/gateway.go
@@ -46,7 +46,8 @@
 	address          string
 	configPath       string
 	logPath          string
-	faultControlPath string // control file for builds with network hooks for fault injection (build tag faultinjection)
+	faultControlPath string   // control file for builds with network hooks for fault injection (build tag faultinjection)
+	systemCallFaults []string // lines of the control file
 	agent            *agent
 
 	process           *process // nil while no process runs
--- a/internal/emulator/loopback/harness_test.go
+++ b/internal/emulator/loopback/harness_test.go
@@ -101,7 +101,8 @@
 // are written to the test's output.
 func newOptions(t *testing.T, s emulator.Scenario) (Options, *runResult) {
 	t.Helper()
-	o := &runResult{observationCounts: &observationCounts{}, checker: invariant.NewChecker(&s, invariant.WithTransit(invariant.SocketTransit))}
+	checker := invariant.NewChecker(&s, invariant.WithTransit(invariant.SocketTransit))
+	o := &runResult{observationCounts: &observationCounts{}, checker: checker}
 	opts := Options{
 		Scenario:  s,
 		Seed:      1,
--- a/internal/emulator/loopback/process_faults.go
+++ b/internal/emulator/loopback/process_faults.go
@@ -2,6 +2,7 @@
 
 import (
 	"os"
+	"strings"
 	"syscall"
 	"time"
 )
@@ -64,25 +65,31 @@
 }
 
 // FailSystemCalls makes system calls of a gateway fail for a time, if its program is built with network hooks for fault
-// injection (build tag faultinjection). faults holds lines of the control file, which package faultinjection describes.
-func (w *World) FailSystemCalls(index int, faults string, length time.Duration) {
+// injection (build tag faultinjection). fault is a line of the control file, which package faultinjection describes.
+func (w *World) FailSystemCalls(index int, fault string, length time.Duration) {
 	w.scheduler.Do(func() {
 		g := w.gateways[index]
-		write := func(text string) {
-			temporaryPath := g.faultControlPath + ".new"
-			err := os.WriteFile(temporaryPath, []byte(text), 0o600)
-			if err == nil {
-				err = os.Rename(temporaryPath, g.faultControlPath)
-			}
-			if err != nil {
-				w.logger.Error("writing a control file failed", "gateway", index, "err", err)
-			}
-		}
-		write(faults)
-		w.scheduler.After(length, func() { write("") })
+		g.systemCallFaults = append(g.systemCallFaults, fault)
+		g.writeFaultControl()
+		w.scheduler.After(length, func() {
+			g.systemCallFaults = deleteItem(g.systemCallFaults, fault)
+			g.writeFaultControl()
+		})
 	})
 }
 
+// writeFaultControl replaces the control file of the gateway atomically.
+func (g *gateway) writeFaultControl() {
+	temporaryPath := g.faultControlPath + ".new"
+	err := os.WriteFile(temporaryPath, []byte(strings.Join(g.systemCallFaults, "\n")), 0o600)
+	if err == nil {
+		err = os.Rename(temporaryPath, g.faultControlPath)
+	}
+	if err != nil {
+		g.world.logger.Error("writing a control file failed", "gateway", g.index, "err", err)
+	}
+}
+
 // SlowLists makes agents write complete endpoint lists slowly for the time length. The bytes of each list are sent over
 // the time spread.
 func (w *World) SlowLists(spread, length time.Duration) {
@@ -106,6 +113,11 @@
 	})
 }
 
+// RestartGateway shuts the process of a gateway down gracefully and starts another one when it has ended.
+func (w *World) RestartGateway(index int) {
+	w.scheduler.Do(w.gateways[index].shutDownAndRestart)
+}
+
 // ShutDownGateways sends SIGTERM to all gateway processes and waits up to a timeout until they have ended. It returns
 // how many processes it has not seen end.
 func (w *World) ShutDownGateways(timeout time.Duration) (remaining int) {
--- a/internal/emulator/loopback/request.go
+++ b/internal/emulator/loopback/request.go
@@ -30,6 +30,9 @@
 	billed             bool     // a response has reported the request's true units
 	submissionObserved bool     // emulator.RequestSubmitted has been observed
 	resent             bool     // the request was sent once more because the gateway had not read it
+	leavesOnFailure    bool     // the client disconnects when an endpoint rejects or resets an attempt
+	firstAttemptAt     time.Duration
+	departure          departure // safe for concurrent use
 }
 
 // message is an HTTP request without its Req-Deadline header. Gateways pass method, path and body on unchanged.
--- a/internal/emulator/loopback/world.go
+++ b/internal/emulator/loopback/world.go
@@ -43,6 +43,7 @@
 	slowListDuration time.Duration // how long agents take to write a complete list; 0 means without delay
 	zonePartitions   []int         // number of active partitions that separate each zone from the others
 	resetShare       float64       // share of the attempts whose connection is reset
+	aimed            aimedFaults   // active faults of single requests and attempts
 	spoiltShare      float64       // share of the responses that are truncated or followed by an unsolicited one
 	lastObserved     time.Duration // time of the latest observation, so that no later one has an earlier time
 
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -84,23 +84,42 @@
 	return l.TCPListener.Accept()
 }
 
-// Late may stand in place of an error name for Connect. It delays each dial by connectDelay and does not make it fail.
+// Late may stand in place of an error name for Connect. It delays each dial, by defaultConnectDelay unless a duration
+// follows as in "connect LATE 400ms", and does not make it fail.
 const Late = "LATE"
 
-const connectDelay = time.Second
+const defaultConnectDelay = time.Second
 
-// isConnectDelayed reports whether dials have to be delayed now.
-func (i *Injector) isConnectDelayed() bool {
+// LateConnect returns the line of the control file that delays each dial.
+func LateConnect(delay time.Duration) string { return Connect + " " + Late + " " + delay.String() }
+
+// connectDelay returns the time by which dials have to be delayed now, or 0.
+func (i *Injector) connectDelay() time.Duration {
 	text, err := os.ReadFile(i.controlFile)
-	return err == nil && strings.Contains(string(text), Connect+" "+Late)
+	if err != nil {
+		return 0 // the control file does not exist yet
+	}
+	for line := range strings.Lines(string(text)) {
+		fields := strings.Fields(line)
+		if len(fields) < 2 || fields[0] != Connect || fields[1] != Late {
+			continue
+		}
+		if len(fields) > 2 {
+			if delay, err := time.ParseDuration(fields[2]); err == nil {
+				return delay
+			}
+		}
+		return defaultConnectDelay
+	}
+	return 0
 }
 
 // Dial connects to an endpoint, after an injected delay or with an injected failure if the control file specifies one.
 // It has the signature of net.Dialer.DialContext.
 func (i *Injector) Dial(ctx context.Context, network, address string) (net.Conn, error) {
-	if i.isConnectDelayed() {
+	if delay := i.connectDelay(); delay > 0 {
 		select {
-		case <-time.After(connectDelay):
+		case <-time.After(delay):
 		case <-ctx.Done():
 			return nil, &net.OpError{Op: "dial", Net: network, Err: ctx.Err()}
 		}
--- a/internal/faultinjection/faultinjection_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -9,6 +9,7 @@
 	"strings"
 	"syscall"
 	"testing"
+	"time"
 
 	"springfield/internal/faultinjection"
 )
@@ -64,3 +65,33 @@
 		}
 	}
 }
+
+// A dial must take at least as long as the control file says. A delay of another operation must not apply to it.
+func TestConnectIsDelayedAsControlFileSays(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() }) // a broken listener has already failed the test
+	const delay = 20 * time.Millisecond
+	for _, test := range []struct {
+		text string
+		want time.Duration // least duration of a dial
+	}{
+		{faultinjection.LateConnect(delay), delay},
+		{"accept EMFILE\n" + faultinjection.LateConnect(delay) + "\n", delay},
+		{"accept LATE 1h", 0},
+	} {
+		control := filepath.Join(t.TempDir(), "faults")
+		if err := os.WriteFile(control, []byte(test.text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		started := time.Now()
+		conn, err := faultinjection.New(control).Dial(t.Context(), "tcp", listener.Addr().String())
+		if elapsed := time.Since(started); err != nil || elapsed < test.want {
+			t.Errorf("%q: Dial returned %v after %v, want a connection after at least %v", test.text, err, elapsed, test.want)
+			continue
+		}
+		_ = conn.Close() // nothing was sent on it
+	}
+}
--- a/internal/soak/findings.go
+++ b/internal/soak/findings.go
@@ -20,7 +20,8 @@
 	Kind(emulator.FaultDrainEndpoints), Kind(emulator.FaultReplace), Kind(emulator.FaultStopEndpoints),
 	Kind(emulator.FaultPartition), Kind(emulator.FaultKillGateways), Kind(emulator.FaultResets),
 	Kind(emulator.FaultSpoiltAnswers), Kind(emulator.FaultSilentEndpoints), Kind(emulator.FaultSlowEndpoints),
-	PauseGateways, IdleFlood, LateConnects, SpoiltBytes,
+	PauseGateways, IdleFlood, LateConnects, SpoiltBytes, DrainDuringDial, LeavingClients, RestartSurge,
+	FailAfterExecution, ShortDeadlines, EvictedRequests,
 }
 
 // findings returns the failures of a run that the oracles have detected.
@@ -47,6 +48,8 @@
 	}
 	add("starvation", starved, "gateways rejected all requests for at least five seconds")
 	add("stalled client kept", int(r.faultyClients.stalledKept.Load()), "gateways did not close connections in time")
+	add("request lost on a kept connection", r.lostProbeRequests(),
+		"gateways read requests and ended their connections without responses")
 	add("pipelined request unanswered", int(r.faultyClients.unansweredRequests.Load()),
 		"connections were closed before the last response")
 	return append(findings, r.logFindings()...)
--- a/internal/soak/kind.go
+++ b/internal/soak/kind.go
@@ -26,6 +26,17 @@
 	PipeliningCrowd Kind = "pipelining_crowd" // clients pipeline requests, or send garbage after a request and disconnect
 )
 
+// The kinds of fault that are aimed at a state of a gateway which random faults rarely meet.
+const (
+	DrainDuringDial    Kind = "drain_during_dial"    // endpoints drain while dials to them are pending
+	LeavingClients     Kind = "leaving_clients"      // clients disconnect in a dial, between attempts, or while waiting
+	RestartSurge       Kind = "restart_surge"        // all endpoints restart at once while the load doubles
+	FailAfterExecution Kind = "fail_after_execution" // executed attempts fail, some at the end of their key's lifetime
+	ShortDeadlines     Kind = "short_deadlines"      // requests expire during a dial or before a retry
+	EvictedRequests    Kind = "evicted_requests"     // requests arrive as their gateway evicts their connections
+	RequestsAtShutdown Kind = "requests_at_shutdown" // requests on kept connections cross SIGTERM
+)
+
 // scheduledKinds lists the kinds of fault that a scenario's fault schedule supports.
 var scheduledKinds = []Kind{
 	Kind(emulator.FaultKillGateways), Kind(emulator.FaultRestartGateways), Kind(emulator.FaultDrainEndpoints),
@@ -39,7 +50,9 @@
 // Kinds returns all kinds of fault in a fixed order.
 func Kinds() []Kind {
 	return append(slices.Clone(scheduledKinds), PauseGateways, CloseLogs, StallLogs, HalfConfigs, FailAccept, FailConnect,
-		SlowLists, ClockOffset, IdleFlood, StalledClients, PipeliningCrowd, LateConnects, SpoiltBytes)
+		SlowLists, ClockOffset, IdleFlood, StalledClients, PipeliningCrowd, LateConnects, SpoiltBytes,
+		DrainDuringDial, LeavingClients, RestartSurge, FailAfterExecution, ShortDeadlines,
+		EvictedRequests, RequestsAtShutdown)
 }
 
 // isScheduled reports whether the scenario's fault schedule carries out faults of the kind.
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -117,6 +117,7 @@
 		Clients: emulator.Clients{Load: 0.7, MaxUnits: 2, SetMin: 0.5, SetMax: 1, CalmUse: 0.5, Retries: 1,
 			RetryDelay: ms(100), Patience: 0.8, Abandon: 0.05},
 	}
+	p.aimScenario(&scenario)
 	for _, fault := range p.Faults {
 		if fault.Kind.isScheduled() {
 			scenario.Faults = append(scenario.Faults, scheduledFault(fault))
--- a/internal/soak/report_test.go
+++ b/internal/soak/report_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -25,7 +26,8 @@
 	if err := report.Write(&text); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"2 runs, 15 requests", "1 of 406 pairs", "found: crash; seeds [9]; ended"} {
+	pairs := fmt.Sprintf("1 of %d pairs", len(Pairs()))
+	for _, want := range []string{"2 runs, 15 requests", pairs, "found: crash; seeds [9]; ended"} {
 		if !strings.Contains(text.String(), want) {
 			t.Errorf("the report lacks %q:\n%s", want, text.String())
 		}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -61,6 +61,7 @@
 	options       Options
 	world         *loopback.World
 	faultyClients faultyClients
+	probes        probes
 	random        *rand.Rand
 	ctx           context.Context // canceled when the load ends
 }
@@ -142,7 +143,7 @@
 
 // inject carries out a fault that the scenario's fault schedule does not support.
 func (r *runner) inject(fault Fault) {
-	if fault.Kind.isScheduled() || fault.Kind == ClockOffset || !r.pause(fault.At) {
+	if fault.Kind.isScheduled() || fault.Kind == ClockOffset || r.injectEarly(fault) || !r.pause(fault.At) {
 		return
 	}
 	addresses := r.world.Addresses().Gateways
@@ -157,6 +158,9 @@
 		r.world.SpoilBytes(failureShare, fault.Length)
 		return
 	}
+	if r.injectAimed(fault) {
+		return
+	}
 	for position, gateway := range r.pickGateways(fault) {
 		r.faultyClients.goroutines.Go(func() { r.injectAt(fault, position, gateway, addresses[gateway].Listen) })
 	}
