--- a/internal/emulator/invariant/attempts.go
+++ b/internal/emulator/invariant/attempts.go
@@ -27,6 +27,7 @@
 		return
 	}
 	c.checkNotClosed(sentAt, forwarded, o)
+	c.checkDeadline(at, forwarded, o)
 	first := forwarded.insertAttempt(attempt{number: o.Attempt, endpoint: o.Endpoint, startedAt: sentAt})
 	for i := max(1, first); i < len(forwarded.attempts); i++ {
 		c.check(at, forwarded, forwarded.attempts[i].number, checkRetry)
@@ -58,6 +59,14 @@
 	}
 }
 
+// checkDeadline checks RuleDeadline for a new attempt.
+func (c *Checker) checkDeadline(at time.Duration, r *request, o emulator.AttemptForwarded) {
+	if o.StatedDeadline > r.deadline+c.transit+c.slack && !c.gatewayKilled(r) {
+		c.violations.add(RuleDeadline, at, o.Request, "gateway %d forwarded request %d with a deadline %v after that of"+
+			" its client", o.Gateway, o.Request, o.StatedDeadline-r.deadline)
+	}
+}
+
 // checkKind is a kind of deferred check.
 type checkKind uint8
 
--- a/internal/emulator/loopback/attempt.go
+++ b/internal/emulator/loopback/attempt.go
@@ -43,20 +43,25 @@
 }
 
 // beginAttempt records an attempt for a client's request and observes that a gateway has forwarded it.
-func (w *World) beginAttempt(clientRequest *request, c *upstreamConnection, newConnection bool) *attempt {
+func (w *World) beginAttempt(clientRequest *request, c *upstreamConnection, newConnection bool,
+	received receivedRequest) *attempt {
 	w.endClosedAttempts(clientRequest)
-	arrivedAt := w.lastArrival(c.conn)
-	a := &attempt{request: clientRequest, number: clientRequest.attempts, conn: c}
+	deadline := received.arrivedAt + parseSeconds(received.head.Header.Get("Req-Deadline"))
+	a := &attempt{request: clientRequest, number: clientRequest.attempts, conn: c, deadline: deadline}
+	if clientRequest.attempts == 0 {
+		clientRequest.firstAttemptAt = w.scheduler.Now()
+	}
 	clientRequest.attempts++
 	clientRequest.inFlight = append(clientRequest.inFlight, a)
 	w.summary.Attempts++
 	w.observe(emulator.AttemptForwarded{
-		Request:       clientRequest.arrival.Request,
-		Attempt:       a.number,
-		Gateway:       clientRequest.arrival.Gateway,
-		Endpoint:      c.endpoint.id,
-		NewConnection: newConnection,
-		Sent:          arrivedAt,
+		Request:        clientRequest.arrival.Request,
+		Attempt:        a.number,
+		Gateway:        clientRequest.arrival.Gateway,
+		Endpoint:       c.endpoint.id,
+		NewConnection:  newConnection,
+		StatedDeadline: deadline,
+		Sent:           received.arrivedAt,
 	})
 	return a
 }
@@ -90,7 +95,7 @@
 		a.request.metered = true
 		world.meter.Record(world.scheduler.Now(), clientArrival.Customer, clientArrival.TrueUnits)
 	}
-	if !a.conn.admitted {
+	if !a.conn.admitted || world.rejectsByFault() {
 		a.scheduleResponse(model.JobRejected)
 		return
 	}
@@ -109,6 +114,9 @@
 // scheduleResponse sends the endpoint's response after the network delay.
 func (a *attempt) scheduleResponse(result model.JobResult) {
 	a.rejected = result == model.JobRejected
+	if a.failByFault(result) {
+		return
+	}
 	world := a.conn.endpoint.world
 	world.scheduler.After(world.network.Delay(), func() { a.sendResponse(result) })
 }
@@ -164,6 +172,9 @@
 	a.ended = true
 	a.conn.current = nil
 	a.request.inFlight = deleteItem(a.request.inFlight, a)
+	if a.request.leavesOnFailure && (status == policy.StatusRejected || status == policy.StatusReset) {
+		a.request.departure.leave()
+	}
 	a.conn.endpoint.world.observe(emulator.AttemptEnded{
 		Request:  a.request.arrival.Request,
 		Attempt:  a.number,
--- a/internal/emulator/loopback/connections.go
+++ b/internal/emulator/loopback/connections.go
@@ -1,11 +1,13 @@
 package loopback
 
 import (
+	"errors"
+	"io"
 	"net"
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
+	"springfield/internal/tcpinfo"
 )
 
 // closeWithReset closes a connection with a TCP reset instead of an orderly close.
@@ -39,31 +41,39 @@
 // kernelTick is the longest time between two ticks of the kernel's clock for connections.
 const kernelTick = 10 * time.Millisecond
 
-// lastArrival returns when the machine received the latest bytes on a connection, whether or not they have been read.
-// On a busy machine, bytes may be read long after they have arrived. The result is never earlier than the arrival: an
-// attempt that follows the end of another one must not seem to precede it.
-func (w *World) lastArrival(conn net.Conn) time.Duration {
-	age := lastDataAge(conn) // must be determined before the current time, so that the result is not too early
-	return w.scheduler.Now() - max(0, age-kernelTick)
+// lastArrival returns the Unix time at which the machine received the latest bytes on a connection, whether or not they
+// have been read. On a busy machine, bytes may be read long after they have arrived. The result is never earlier than
+// the arrival: an attempt that follows the end of another one must not seem to precede it.
+func lastArrival(conn net.Conn) time.Duration {
+	age, err := tcpinfo.SinceLastReceived(conn) // before the current time is determined, so that the result is not early
+	if err != nil {
+		age = 0 // the connection is closed, so the bytes are not used
+	}
+	return time.Duration(time.Now().UnixNano()) - max(0, age-kernelTick)
 }
 
-// lastDataAge returns how long ago the machine received the latest bytes on a connection, to within kernelTick. It
-// returns 0 if that is unknown.
-func lastDataAge(conn net.Conn) time.Duration {
-	tcp, ok := conn.(*net.TCPConn)
-	if !ok {
-		return 0
-	}
-	raw, err := tcp.SyscallConn()
-	if err != nil {
-		return 0
+// sentRequest describes a request that was sent on a connection.
+type sentRequest struct {
+	conn   net.Conn
+	length uint64 // bytes of the request
+	before uint64 // bytes that the peer had acknowledged before the request
+	known  bool   // before is valid
+}
+
+// beginSending returns the description of a request that is about to be sent. The peer has acknowledged all earlier
+// bytes, because it has answered the requests before.
+func beginSending(conn net.Conn, length int) sentRequest {
+	before, err := tcpinfo.BytesAcknowledged(conn)
+	return sentRequest{conn: conn, length: uint64(length), before: before, known: err == nil}
+}
+
+// readBeforeClose reports whether the peer's program certainly read the whole request before it closed the connection.
+// readErr is the error of the read that found the connection closed. A peer that had not read all bytes would have
+// reset the connection.
+func (s sentRequest) readBeforeClose(readErr error) bool {
+	if !s.known || !errors.Is(readErr, io.EOF) {
+		return false
 	}
-	var age time.Duration
-	_ = raw.Control(func(fd uintptr) { // an error means that the connection is closed
-		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		if err == nil {
-			age = time.Duration(info.Last_data_recv) * time.Millisecond
-		}
-	})
-	return age
+	after, err := tcpinfo.BytesAcknowledged(s.conn)
+	return err == nil && after-s.before >= s.length
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -115,6 +115,7 @@
 func (p *Plan) scenario() emulator.Scenario {
 	scenario := newSettingsSource(p.Seed).scenario(p.Gateways)
 	scenario.Length = emulator.Duration(p.loadLength())
+	p.aimScenario(&scenario)
 	for _, fault := range p.Faults {
 		switch {
 		case fault.Kind == LostDrain:
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -64,6 +64,7 @@
 	options       Options
 	world         *loopback.World
 	faultyClients faultyClients
+	probes        probes
 	ctx           context.Context // canceled when the load ends
 }
 
@@ -71,7 +72,8 @@
 func Run(ctx context.Context, plan Plan, options Options) (Result, error) {
 	started := time.Now()
 	scenario := plan.scenario()
-	checker := invariant.NewChecker(&scenario, invariant.WithSlack(invariant.SocketSlack))
+	checker := invariant.NewChecker(&scenario, invariant.WithSlack(invariant.SocketSlack),
+		invariant.WithTransit(plan.transit()))
 	starvation := newStarvationDetector()
 	var last time.Duration
 	world, err := loopback.Start(ctx, loopback.Options{
@@ -145,7 +147,7 @@
 
 // inject carries out a fault that the scenario's fault schedule does not support.
 func (r *runner) inject(fault Fault) {
-	if fault.Kind.isScheduled() || fault.Kind == ClockOffset || !r.pause(fault.At) {
+	if fault.Kind.isScheduled() || fault.Kind == ClockOffset || r.injectEarly(fault) || !r.pause(fault.At) {
 		return
 	}
 	addresses := r.world.Addresses().Gateways
@@ -160,6 +162,9 @@
 		r.world.SpoilBytes(failureShare, fault.Length)
 		return
 	}
+	if r.injectAimed(fault) {
+		return
+	}
 	for position, gateway := range r.pickGateways(fault) {
 		r.faultyClients.goroutines.Go(func() { r.injectAt(fault, position, gateway, addresses[gateway].Listen) })
 	}
@@ -208,11 +213,13 @@
 	}
 }
 
+// failedCallsDivisor is the ratio of the length of a fault to the time for which failCalls makes system calls fail.
+const failedCallsDivisor = 4
+
 // failCalls makes a system call of a gateway fail for a quarter of the length of the fault, because failures of this
 // kind are brief.
 func (r *runner) failCalls(fault Fault, gateway int, call, failure string) {
-	const divisor = 4
-	r.world.FailSystemCalls(gateway, call+" "+failure, fault.Length/divisor)
+	r.world.FailSystemCalls(gateway, call+" "+failure, fault.Length/failedCallsDivisor)
 }
 
 // configRereadTime is the longest time for which a configuration file is half written. A gateway rereads a
