--- a/cmd/springfield/soak.go
+++ b/cmd/springfield/soak.go
@@ -19,7 +19,7 @@
 	Seeds    seedRange `required:"" placeholder:"A-B" help:"Seeds to run, such as 1-300 or 17, or a variation: 17.3."`
 	Gateway  string    `type:"path" placeholder:"FILE" help:"Gateway program, built with -tags faultinjection."`
 	Parallel int       `default:"4" help:"Most concurrent runs, each with 10 to 40 gateway processes."`
-	Gateways int       `name:"max-gateways" placeholder:"N" help:"Most gateways at once. Default: what half the memory holds."`
+	Gateways int       `name:"max-gateways" placeholder:"N" help:"Most gateways at once. Default: by half the memory."`
 	Shrink   bool      `help:"Rerun seeds with findings to determine which faults they need."`
 	Keep     string    `type:"path" placeholder:"DIR" help:"Keep the files of runs with findings in DIR."`
 
--- a/internal/soak/findings.go
+++ b/internal/soak/findings.go
@@ -20,7 +20,7 @@
 	Kind(emulator.FaultDrainEndpoints), Kind(emulator.FaultReplace), Kind(emulator.FaultStopEndpoints),
 	Kind(emulator.FaultPartition), Kind(emulator.FaultKillGateways), Kind(emulator.FaultResets),
 	Kind(emulator.FaultSpoiltAnswers), Kind(emulator.FaultSilentEndpoints), Kind(emulator.FaultSlowEndpoints),
-	PauseGateways, IdleFlood, LateConnects, SpoiltBytes, LostDrain, DrainDuringDial, LeavingClients,
+	PauseGateways, IdleFlood, LateConnects, SpoiltBytes, LostDrain, HangingShutdown, DrainDuringDial, LeavingClients,
 	RestartSurge, FailAfterExecution, ShortDeadlines, EvictedRequests,
 }
 
--- a/internal/soak/kind.go
+++ b/internal/soak/kind.go
@@ -23,6 +23,7 @@
 	StalledClients  Kind = "stalled_clients"  // clients stop in the middle of a request and stay connected
 	LateConnects    Kind = "late_connects"    // connections to endpoints are established late
 	LostDrain       Kind = "lost_drain"       // watches fall silent, and endpoints then drain until the load ends
+	HangingShutdown Kind = "hanging_shutdown" // gateways shut down while endpoints hang, before long deadlines
 	SpoiltBytes     Kind = "spoilt_bytes"     // responses are truncated or stalled at any byte, trickled or sent twice
 	PipeliningCrowd Kind = "pipelining_crowd" // clients pipeline requests, or send garbage after a request and disconnect
 )
@@ -52,12 +53,14 @@
 func Kinds() []Kind {
 	return append(slices.Clone(scheduledKinds), PauseGateways, CloseLogs, StallLogs, HalfConfigs, FailAccept, FailConnect,
 		SlowLists, ClockOffset, IdleFlood, StalledClients, PipeliningCrowd, LateConnects, SpoiltBytes,
-		LostDrain, DrainDuringDial, LeavingClients, RestartSurge, FailAfterExecution, ShortDeadlines,
+		LostDrain, HangingShutdown, DrainDuringDial, LeavingClients, RestartSurge, FailAfterExecution, ShortDeadlines,
 		EvictedRequests, RequestsAtShutdown)
 }
 
 // isScheduled reports whether the scenario's fault schedule carries out faults of the kind.
-func (k Kind) isScheduled() bool { return k == LostDrain || slices.Contains(scheduledKinds, k) }
+func (k Kind) isScheduled() bool {
+	return k == LostDrain || k == HangingShutdown || slices.Contains(scheduledKinds, k)
+}
 
 // Pair holds two different kinds of fault, in the order of Kinds.
 type Pair [2]Kind
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -37,19 +37,16 @@
 }
 
 // NewPlan returns the plan of a seed. The seed selects a pair of kinds of fault, so that consecutive seeds cover all
-// pairs; most runs have a third kind. Each fault starts while the one before it is active.
+// pairs, and further kinds in turn, so that a few consecutive seeds cover all kinds. Each fault starts while the one
+// before it is active.
 func NewPlan(seed uint64) Plan {
 	random := rand.New(rand.NewPCG(seed, 0))
 	pairs := shuffledPairs()
 	pair := pairs[int(seed%uint64(len(pairs)))]
 	kinds := pair[:]
-	if random.IntN(4) > 0 {
-		for {
-			extraKind := Kinds()[random.IntN(len(Kinds()))]
-			if !slices.Contains(kinds, extraKind) {
-				kinds = append(slices.Clone(kinds), extraKind)
-				break
-			}
+	for _, extraKind := range kindsInTurn(seed) {
+		if !slices.Contains(kinds, extraKind) {
+			kinds = append(slices.Clone(kinds), extraKind)
 		}
 	}
 	plan := Plan{Seed: seed, Gateways: minGateways + random.IntN(maxGateways-minGateways+1)}
@@ -60,12 +57,22 @@
 		at += time.Duration(random.Int64N(int64(min(maxFaultStartGap, length))))
 	}
 	random.Shuffle(len(plan.Faults), plan.swapKinds) // the order of the kinds is random
-	if last := len(plan.Faults) - 1; !plan.overlapInTime(pair[0], pair[1]) {
-		plan.swapKinds(1, last) // the pair was at both ends, and consecutive faults overlap
-	}
+	plan.makeAdjacent(pair)
 	return plan
 }
 
+// makeAdjacent exchanges kinds so that those of a pair belong to consecutive faults, which overlap in time.
+func (p *Plan) makeAdjacent(pair Pair) {
+	first := slices.IndexFunc(p.Faults, func(fault Fault) bool { return fault.Kind == pair[0] })
+	second := slices.IndexFunc(p.Faults, func(fault Fault) bool { return fault.Kind == pair[1] })
+	switch {
+	case second > first+1:
+		p.swapKinds(second, first+1)
+	case second < first-1:
+		p.swapKinds(second, first-1)
+	}
+}
+
 func (p *Plan) swapKinds(i, j int) {
 	p.Faults[i].Kind, p.Faults[j].Kind = p.Faults[j].Kind, p.Faults[i].Kind
 }
@@ -82,6 +89,19 @@
 	return false
 }
 
+// extraKinds is the number of kinds of fault that a run has in addition to its pair, unless they belong to the pair.
+const extraKinds = 2
+
+// kindsInTurn returns the kinds of fault that a seed has in addition to its pair.
+func kindsInTurn(seed uint64) []Kind {
+	kinds := Kinds()
+	var inTurn []Kind
+	for i := range uint64(extraKinds) {
+		inTurn = append(inTurn, kinds[(seed*extraKinds+i)%uint64(len(kinds))])
+	}
+	return inTurn
+}
+
 // shuffledPairs returns all pairs in a random order that is the same for all seeds.
 func shuffledPairs() []Pair {
 	pairs := Pairs()
@@ -120,6 +140,9 @@
 		switch {
 		case fault.Kind == LostDrain:
 			scenario.Faults = append(scenario.Faults, p.lostDrain(fault)...)
+		case fault.Kind == HangingShutdown:
+			scenario.Faults = append(scenario.Faults, hangingShutdown(fault)...)
+			lengthenDeadlines(&scenario)
 		case fault.Kind.isScheduled():
 			scenario.Faults = append(scenario.Faults, scheduledFault(fault))
 		}
@@ -145,6 +168,21 @@
 	return []emulator.Fault{silence, drain}
 }
 
+// hangingShutdown returns the scheduled faults of a fault of kind HangingShutdown: endpoints fall silent, and gateways
+// with requests at these endpoints shut down all at once.
+func hangingShutdown(fault Fault) []emulator.Fault {
+	const shutdownDelay = 300 * time.Millisecond // time from the silence to the shutdown
+	silence := scheduledFault(Fault{Kind: Kind(emulator.FaultSilentEndpoints), At: fault.At, Length: fault.Length})
+	shutdown := scheduledFault(Fault{Kind: Kind(emulator.FaultRestartGateways), At: fault.At + shutdownDelay})
+	return []emulator.Fault{silence, shutdown}
+}
+
+// lengthenDeadlines lets the requests of the last class wait for longer than a gateway may take to shut down.
+func lengthenDeadlines(scenario *emulator.Scenario) {
+	const deadline = 6 * time.Second
+	scenario.Classes[len(scenario.Classes)-1].Deadline = emulator.Duration(deadline)
+}
+
 // Parameters of scheduled faults.
 const (
 	affectedShare  = 0.3 // share of the gateways or endpoints that are affected
