--- a/internal/emulator/invariant/stream_test.go
+++ b/internal/emulator/invariant/stream_test.go
@@ -84,8 +84,8 @@
 	return s.observe(emulator.AttemptForwarded{Request: key, Attempt: attempt, Endpoint: endpoint})
 }
 
-// forwardSentAt observes an attempt of request 1 that was sent at an earlier time, in milliseconds from the start of the
-// stream.
+// forwardSentAt observes an attempt of request 1 that was sent at an earlier time. The time is in milliseconds from the
+// start of the stream.
 func (s *stream) forwardSentAt(attempt int, endpoint policy.EndpointID, sentAt int) *stream {
 	sent := startTime + time.Duration(sentAt)*time.Millisecond
 	return s.observe(emulator.AttemptForwarded{Request: 1, Attempt: attempt, Endpoint: endpoint, Sent: sent})
