--- a/internal/emulator/model/customers.go
+++ b/internal/emulator/model/customers.go
@@ -10,13 +10,6 @@
 	"springfield/policy"
 )
 
-// Numbers of the random number streams from which the workload of a run is drawn.
-const (
-	streamCustomers uint64 = iota + 1
-	streamArrivals
-	streamRetries
-)
-
 // Ranges from which the usage of customers is drawn. Usage is a share of the quota, and a spread is relative to the
 // mean.
 const (
--- a/internal/emulator/model/retries.go
+++ b/internal/emulator/model/retries.go
@@ -111,5 +111,5 @@
 // retryRandom returns the random number generator for the retry of a try. It depends only on the seed and on the key
 // of that try.
 func (w *Workload) retryRandom(previous Arrival) *rand.Rand {
-	return rand.New(rand.NewPCG(w.seed^streamRetries, splitMix64(uint64(previous.Request))))
+	return rand.New(rand.NewPCG(w.seed^uint64(StreamRetries), splitMix64(uint64(previous.Request))))
 }
--- a/internal/emulator/model/workload.go
+++ b/internal/emulator/model/workload.go
@@ -70,10 +70,10 @@
 		scenario:    scenario,
 		seed:        seed,
 		start:       start,
-		random:      rand.New(rand.NewPCG(seed, streamArrivals)),
+		random:      StreamArrivals.Random(seed),
 		classShares: cumulativeShares(scenario.Classes),
 	}
-	w.customers = newCustomers(scenario, rand.New(rand.NewPCG(seed, streamCustomers)))
+	w.customers = newCustomers(scenario, StreamCustomers.Random(seed))
 	w.offered = offeredLoad(scenario, w.customers)
 	w.pending = make(arrivalQueue, 0, len(w.customers))
 	for i := range w.customers {
--- a/internal/emulator/model/world.go
+++ b/internal/emulator/model/world.go
@@ -8,7 +8,7 @@
 	"springfield/policy"
 )
 
-// Stream identifies one of the random number streams of a run. The streams of the workload are numbered separately.
+// Stream identifies one of the random number streams of a run.
 type Stream uint64
 
 // The random number streams of a run. Virtual runs and loopback runs use the same streams, so that both draw the same
@@ -21,6 +21,9 @@
 	StreamFaults
 	StreamGateways
 	StreamAttempts
+	StreamCustomers
+	StreamArrivals
+	StreamRetries
 )
 
 // Random returns a random number generator for the stream in a run with the given seed.
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -61,7 +61,6 @@
 	options       Options
 	world         *loopback.World
 	faultyClients faultyClients
-	random        *rand.Rand
 	ctx           context.Context // canceled when the load ends
 }
 
@@ -88,7 +87,7 @@
 		return Result{}, fmt.Errorf("seed %d: %w", plan.Seed, err)
 	}
 	loadCtx, endLoad := context.WithCancel(ctx)
-	r := &runner{plan: plan, options: options, world: world, random: rand.New(rand.NewPCG(plan.Seed, 2)), ctx: loadCtx}
+	r := &runner{plan: plan, options: options, world: world, ctx: loadCtx}
 	for _, fault := range plan.Faults {
 		r.faultyClients.goroutines.Go(func() { r.inject(fault) })
 	}
