--- a/internal/emulator/virtual/gateway.go
+++ b/internal/emulator/virtual/gateway.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
+	"springfield/internal/config"
 	"springfield/internal/emulator"
 	"springfield/internal/emulator/model"
-	"springfield/internal/settings"
 	"springfield/policy"
 )
 
@@ -56,12 +56,12 @@
 }
 
 func newGateway(w *world, number int) *gateway {
-	configured := model.Settings(w.scenario, number)
+	configured := config.Config{Settings: model.Settings(w.scenario, number)}
 	return &gateway{
 		world:  w,
 		number: number,
 		zone:   model.ZoneOf(w.scenario, number),
-		config: settings.PolicyConfig(&configured, 0),
+		config: configured.PolicyConfig(0),
 	}
 }
 
--- a/internal/emulator/virtual/request.go
+++ b/internal/emulator/virtual/request.go
@@ -41,8 +41,12 @@
 // receiveRequest handles the arrival of a client's request at the gateway that the load balancer in front of the
 // gateways selects.
 func (w *world) receiveRequest(arrival model.Arrival) {
-	w.requests++
 	now := w.scheduler.Now()
+	if arrival.AbandonAt > 0 && arrival.AbandonAt <= now {
+		w.pendingRequests--
+		return
+	}
+	w.requests++
 	number := w.workload.Redirect(&arrival, func(gateway int) bool { return w.gateways[gateway].inRotation })
 	g := w.gateways[number]
 	arrival.Gateway = number
