--- a/cmd/springfield/soak.go
+++ b/cmd/springfield/soak.go
@@ -3,21 +3,27 @@
 import (
 	"context"
 	"fmt"
-	"io"
-	"log/slog"
-	"os"
 	"strconv"
 	"strings"
 
-	"springfield/internal/soak"
+	"springfield/internal/emulator/virtual"
+)
+
+// Values of soakCommand.World.
+const (
+	worldSockets = "sockets"
+	worldVirtual = "virtual"
 )
 
 type soakCommand struct {
-	Seeds    seedRange `required:"" placeholder:"A-B" help:"Seeds to run, such as 1-300 or 17."`
-	Gateway  string    `type:"path" placeholder:"FILE" help:"Gateway program, built with -tags faultinjection."`
-	Parallel int       `default:"4" help:"Number of concurrent runs, each with 10 to 14 gateway processes."`
-	Shrink   bool      `help:"Rerun seeds with findings to determine which faults they need."`
-	Keep     string    `type:"path" placeholder:"DIR" help:"Keep the files of runs with findings in DIR."`
+	Seeds        seedRange `required:"" placeholder:"A-B" help:"Seeds to run, such as 1-300 or 17."`
+	World        string    `default:"sockets" enum:"sockets,virtual" help:"World of the runs: ${enum}."`
+	Parallel     int       `default:"4" help:"Number of concurrent runs."`
+	UntilFinding bool      `help:"Stop after the first run with a finding."`
+	JSON         bool      `help:"Print one JSON object per run instead of text."`
+	Gateway      string    `type:"path" placeholder:"FILE" help:"Sockets: program built with -tags faultinjection."`
+	Shrink       bool      `help:"Sockets: rerun seeds with findings to determine which faults they need."`
+	Keep         string    `type:"path" placeholder:"DIR" help:"Sockets: keep the files of runs with findings in DIR."`
 }
 
 // seedRange is an inclusive range of seeds. Its text form is "A-B", or a single seed.
@@ -41,95 +47,42 @@
 
 // Help returns the detailed help, which describes a soak.
 func (*soakCommand) Help() string {
-	return `Each seed determines a small deployment of gateway processes and two or three faults that overlap in time.
-The run is checked for broken rules, crashes and violated invariants. Each finding is printed with a command that
-repeats its seed.
+	return `Each seed determines a deployment and a few faults that overlap in time. The run is checked for broken rules
+and other failures. Each finding is printed with a command that repeats its seed.
+
+World sockets runs 10 to 14 gateway processes on real sockets, in real time. World virtual runs the policy of 3 to 120
+gateways on virtual time, with settings that each seed draws.
+
+Exit status: 0 without findings, 1 with findings, 2 for invalid input.
 
 Examples:
 
     go build -tags faultinjection -o gateway-soak ./cmd/gateway
-    springfield soak --seeds 1-300 --gateway gateway-soak`
+    springfield soak --seeds 1-300 --gateway gateway-soak
+    springfield soak --world virtual --seeds 1-2000`
 }
 
 // Run runs all seeds, prints each run and a report, and returns an error if there are findings.
 func (c *soakCommand) Run(ctx context.Context, env *environment) error {
-	program, arguments, err := gatewayProgram(c.Gateway)
-	if err != nil {
-		return err
-	}
 	if c.Parallel < 1 {
 		return inputErrorf("--parallel %d: want at least 1", c.Parallel)
 	}
-	run := func(ctx context.Context, plan soak.Plan) (soak.Result, error) {
-		return c.runPlan(ctx, plan, soak.Options{Gateway: program, GatewayArgs: arguments,
-			Logger: slog.New(slog.DiscardHandler)})
-	}
-	report := soak.NewReport()
-	var resultsWithFindings []soak.Result
-	err = soak.RunSeeds(ctx, c.Seeds.first, c.Seeds.last, c.Parallel, run, func(result soak.Result) {
-		report.Add(result)
-		if len(result.Findings) > 0 {
-			resultsWithFindings = append(resultsWithFindings, result)
+	if c.World == worldVirtual {
+		if c.Gateway != "" || c.Shrink || c.Keep != "" {
+			return inputErrorf("--gateway, --shrink and --keep do not apply to --world virtual")
 		}
-		writeRunResult(env.stdout, &result)
-	})
-	if err == nil && c.Shrink {
-		err = shrinkFindings(ctx, env.stdout, resultsWithFindings, run)
-	}
-	if writeErr := report.Write(env.stdout); err == nil {
-		err = writeErr
+		return c.runVirtual(ctx, env.stdout, virtual.PolicyDecider)
 	}
-	if err == nil && !report.Clean() {
-		err = fmt.Errorf("findings in %s of %d", plural(len(resultsWithFindings), "run"), report.Runs)
+	if c.JSON && c.Shrink {
+		return inputErrorf("--shrink has no form in JSON")
 	}
-	return err
+	return c.runSockets(ctx, env.stdout)
 }
 
-// runPlan runs a plan in a directory of its own. The directory is kept if --keep is set and the run has findings.
-func (c *soakCommand) runPlan(ctx context.Context, plan soak.Plan, options soak.Options) (soak.Result, error) {
-	directory, err := os.MkdirTemp(c.Keep, fmt.Sprintf("soak-%d-", plan.Seed))
-	if err != nil {
-		return soak.Result{}, err
-	}
-	options.Directory = directory
-	result, err := soak.Run(ctx, plan, options)
-	if c.Keep == "" || len(result.Findings) == 0 {
-		_ = os.RemoveAll(directory) // a failed removal only leaves temporary files
+// findingsError returns the error of a soak with the given numbers of runs, or nil if none of them had findings.
+func findingsError(runsWithFindings, runs int) error {
+	if runsWithFindings == 0 {
+		return nil
 	}
-	return result, err
-}
-
-// writeRunResult prints a line for a run, and two lines for each of its findings. It ignores write errors: the caller
-// writes the report to the same output afterwards and returns the error of that.
-func writeRunResult(w io.Writer, result *soak.Result) {
-	kinds := make([]string, 0, len(result.Plan.Faults))
-	for _, fault := range result.Plan.Faults {
-		kinds = append(kinds, string(fault.Kind))
-	}
-	_, _ = fmt.Fprintf(w, "seed %d: %d gateways, %s: %d requests, %d findings\n", result.Plan.Seed, result.Plan.Gateways,
-		strings.Join(kinds, " + "), result.Requests, len(result.Findings))
-	for _, finding := range result.Findings {
-		_, _ = fmt.Fprintf(w, "  %s\n  repeat with: springfield soak --seeds %d --keep DIR\n", finding, result.Plan.Seed)
-	}
-}
-
-// shrinkFindings reruns the plan of each result with fewer faults and prints the faults that are needed for its first
-// finding.
-func shrinkFindings(ctx context.Context, w io.Writer, resultsWithFindings []soak.Result,
-	run func(context.Context, soak.Plan) (soak.Result, error)) error {
-	for _, result := range resultsWithFindings {
-		finding := result.Findings[0].What
-		plan, err := soak.Shrink(ctx, result.Plan, finding, run)
-		if err != nil {
-			return err
-		}
-		var kinds []string
-		for _, fault := range plan.Faults {
-			kinds = append(kinds, string(fault.Kind))
-		}
-		if _, err := fmt.Fprintf(w, "seed %d: %s needs %s\n", plan.Seed, finding, strings.Join(kinds, " + ")); err != nil {
-			return err
-		}
-	}
-	return nil
+	return fmt.Errorf("findings in %s of %d", plural(runsWithFindings, "run"), runs)
 }
