--- a/internal/emulator/loopback/aimed_faults.go
+++ b/internal/emulator/loopback/aimed_faults.go
@@ -59,19 +59,22 @@
 	})
 }
 
-// CloseIdleUpstream closes the idle connections of gateways to all endpoints, so that the next attempts have to open
-// new ones.
-func (w *World) CloseIdleUpstream() {
+// AllGateways may stand in place of the index of a gateway for CloseIdleUpstream.
+const AllGateways = -1
+
+// CloseIdleUpstream closes the idle connections of a gateway, or of all gateways, to all endpoints. The next attempts
+// have to open new ones.
+func (w *World) CloseIdleUpstream(gateway int) {
 	w.scheduler.Do(func() {
 		for _, e := range w.endpoints {
-			e.closeIdleConnections()
+			e.closeIdleConnections(gateway)
 		}
 	})
 }
 
-func (e *endpoint) closeIdleConnections() {
+func (e *endpoint) closeIdleConnections(gateway int) {
 	for _, c := range e.connections {
-		if c.current == nil {
+		if c.current == nil && c.used && (gateway == AllGateways || gateway == c.gateway) {
 			c.resetLocally = true // a request that is arriving is not handled
 			_ = c.conn.Close()    // the connection may be closed already
 		}
--- a/internal/emulator/loopback/endpoint.go
+++ b/internal/emulator/loopback/endpoint.go
@@ -43,7 +43,7 @@
 		e.stop()
 	}
 	w.endpoints = append(w.endpoints, e)
-	e.markStarted(listener, startedAt > 0 && w.scenario.WarmUp.Duration > 0)
+	e.markStarted(listener, startedAt > 0 && w.scheduler.Now()-startedAt < w.scenario.WarmUp.Duration.AsDuration())
 	return nil
 }
 
--- a/internal/emulator/loopback/gateway.go
+++ b/internal/emulator/loopback/gateway.go
@@ -62,6 +62,7 @@
 
 	known           map[policy.EndpointID]policy.Endpoint // latest list entries of which the gateway counts as notified
 	idleConnections []*clientConnection                   // kept connections, the most recently used one last
+	reuseOldest     bool                                  // clients use the connection that has been idle for longest
 	openExchanges   int                                   // number of client requests without an outcome
 	onExchangesDone func()                                // called when openExchanges falls to 0; may be nil
 }
--- a/internal/emulator/loopback/idle.go
+++ b/internal/emulator/loopback/idle.go
@@ -1,18 +1,27 @@
 package loopback
 
-import "time"
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"time"
+)
 
 // clientIdleTimeout is how long clients keep an idle connection.
 const clientIdleTimeout = 30 * time.Second
 
-// takeIdle removes and returns the kept connection that was used last, or returns nil if there is none. It drops
-// connections that the gateway has closed.
+// takeIdle removes and returns the kept connection that was used last or, with reuseOldest, the one that has been idle
+// for longest. It returns nil if there is none. It drops connections that the gateway has closed.
 func (g *gateway) takeIdle() *clientConnection {
 	for len(g.idleConnections) > 0 {
-		last := len(g.idleConnections) - 1
-		conn := g.idleConnections[last]
-		g.idleConnections[last] = nil // lets the connection be garbage-collected
-		g.idleConnections = g.idleConnections[:last]
+		index := len(g.idleConnections) - 1
+		if g.reuseOldest {
+			index = 0
+		}
+		conn := g.idleConnections[index]
+		g.idleConnections = slices.Delete(g.idleConnections, index, index+1)
 		if !peerHasClosed(conn.Conn) {
 			return conn
 		}
@@ -51,3 +60,39 @@
 	}
 	g.idleConnections = nil
 }
+
+// KeepConnection opens a connection to a gateway for later requests of the emulated clients and makes a first request
+// on it. From then on, the clients of the gateway use the connection that has been idle for longest, which the gateway
+// would evict next.
+func (w *World) KeepConnection(index int) error {
+	g := w.gateways[index]
+	dialer := net.Dialer{Timeout: clientDialTimeout}
+	dialed, err := dialer.DialContext(w.ctx, "tcp4", g.address)
+	if err != nil {
+		return err
+	}
+	conn := &clientConnection{Conn: dialed, reader: bufio.NewReader(dialed), used: true}
+	if err := conn.checkHealth(); err != nil || !w.keepIdle(g, conn) {
+		_ = conn.Close() // nothing else is to be sent on it
+		return err
+	}
+	w.scheduler.Do(func() { g.reuseOldest = true })
+	return nil
+}
+
+// checkHealth makes a request for the health of the gateway, which must be answered.
+func (c *clientConnection) checkHealth() error {
+	if err := c.SetDeadline(time.Now().Add(clientDialTimeout)); err != nil {
+		return err
+	}
+	if _, err := io.WriteString(c, "GET /health/ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n"); err != nil {
+		return err
+	}
+	response, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = response.Body.Close() }() // closing a body that was read cannot fail
+	_, err = io.Copy(io.Discard, response.Body)
+	return err
+}
--- a/internal/emulator/loopback/options.go
+++ b/internal/emulator/loopback/options.go
@@ -26,6 +26,10 @@
 	// time and are warm.
 	ColdStart bool
 
+	// EndpointAge is how long ago the endpoints started that are warm from the beginning, as discovery reports it. With 0,
+	// discovery reports no start time.
+	EndpointAge time.Duration
+
 	// KillDelay is added to the time from SIGTERM to SIGKILL of a gateway that shuts down.
 	KillDelay time.Duration
 
--- a/internal/emulator/loopback/world.go
+++ b/internal/emulator/loopback/world.go
@@ -137,8 +137,11 @@
 	for number := range w.scenario.Endpoints.Count {
 		zone, cell := model.ZoneOf(w.scenario, number), model.CellOf(w.scenario, number)
 		startedAt := time.Duration(0)
-		if w.options.ColdStart {
+		switch {
+		case w.options.ColdStart:
 			startedAt = w.scheduler.Now()
+		case w.options.EndpointAge > 0:
+			startedAt = w.scheduler.Now() - w.options.EndpointAge
 		}
 		if err := w.addEndpoint(zone, cell, startedAt); err != nil {
 			return err
--- a/internal/soak/aimed_faults.go
+++ b/internal/soak/aimed_faults.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"springfield/internal/emulator"
+	"springfield/internal/emulator/loopback"
+	"springfield/internal/faultinjection"
 )
 
 // Parameters of aimed faults. A delayed connect takes longer than the limit that the gateway has to keep meanwhile, and
@@ -25,12 +27,18 @@
 	shortDeadlineConnectDelay = 60 * time.Millisecond
 	hurriedShare              = 0.5 // share of the requests that have little time left
 
+	evictedConnectDelay = 150 * time.Millisecond // at the gateway that evicts connections
+
 	closeIdleInterval = 250 * time.Millisecond // time between two closes of all idle connections to endpoints
 	rejectedShare     = 0.25                   // share of the attempts that endpoints reject
 	failedShare       = 0.5                    // share of the attempts that fail after their execution
 
 	surgeFactor   = 2 // factor by which the load grows in a surge
 	surgeDowntime = 300 * time.Millisecond
+
+	// surgeInitialCapacity is the share of its capacity with which an endpoint starts in a surge. With a larger share,
+	// the limits of the gateways on attempts in flight keep the bound of slow start by themselves.
+	surgeInitialCapacity = 0.05
 )
 
 // aimScenario adapts the scenario of a run to its aimed faults.
@@ -46,6 +54,7 @@
 			scenario.Clients.BurstAt = emulator.Duration(fault.At)
 			scenario.Clients.BurstLength = emulator.Duration(fault.Length)
 			scenario.Clients.BurstFactor = surgeFactor
+			scenario.WarmUp.InitialCapacity = surgeInitialCapacity
 		}
 	}
 }
@@ -60,7 +69,12 @@
 		return true
 	}
 	gateway := r.pickGateways(fault)[0]
-	r.probes.evictRequests(r.world.Addresses().Gateways[gateway].Listen, r.faultRandom(fault, gateway), r.pause)
+	// Requests at this gateway spend most of their time before the first byte of their attempts.
+	r.world.FailSystemCalls(gateway, faultinjection.LateConnect(evictedConnectDelay), loadLength)
+	r.faultyClients.goroutines.Go(func() { r.closeIdleRepeatedly(gateway, loadLength) })
+	keepConnection := func() { _ = r.world.KeepConnection(gateway) } // a failure leaves one connection less
+	address := r.world.Addresses().Gateways[gateway].Listen
+	r.probes.evictRequests(address, r.faultRandom(fault, gateway), keepConnection, r.pause)
 	return true
 }
 
@@ -81,6 +95,16 @@
 	return int(r.probes.lost.Load())
 }
 
+// endpointAge returns how long ago the endpoints of a run started. A restart must be noticed both with and without a
+// known start time before. The age is longer than any plausible offset of a clock.
+func (p *Plan) endpointAge() time.Duration {
+	const age = 3 * time.Hour
+	if p.has(RestartSurge) || p.Seed%2 == 1 {
+		return age
+	}
+	return 0
+}
+
 // injectAimed carries out a fault that is aimed at a state of the gateways. It reports false for other kinds.
 func (r *runner) injectAimed(fault Fault) bool {
 	switch fault.Kind {
@@ -90,7 +114,7 @@
 		r.world.DisconnectClients(leaveShare, fault.Length)
 		r.world.RejectAttempts(rejectedShare, fault.Length)
 		r.world.DelayConnects(leaveConnectDelay, fault.Length)
-		r.closeIdleRepeatedly(fault.Length)
+		r.closeIdleRepeatedly(loopback.AllGateways, fault.Length)
 	case RestartSurge:
 		r.world.RestartEndpoints(surgeDowntime)
 	case FailAfterExecution:
@@ -99,7 +123,7 @@
 		r.world.HurryClients(hurriedShare, fault.Length)
 		r.world.RejectAttempts(rejectedShare, fault.Length)
 		r.world.DelayConnects(shortDeadlineConnectDelay, fault.Length)
-		r.closeIdleRepeatedly(fault.Length)
+		r.closeIdleRepeatedly(loopback.AllGateways, fault.Length)
 	case RequestsAtShutdown:
 		for _, gateway := range r.pickGateways(fault) {
 			address := r.world.Addresses().Gateways[gateway].Listen
@@ -118,7 +142,7 @@
 func (r *runner) drainDuringDials(length time.Duration) {
 	r.world.DelayConnects(drainConnectDelay, length)
 	for remaining := length; remaining > 0; remaining -= drainInterval {
-		r.world.CloseIdleUpstream()
+		r.world.CloseIdleUpstream(loopback.AllGateways)
 		if !r.pause(drainAfterClose) {
 			return
 		}
@@ -129,10 +153,11 @@
 	}
 }
 
-// closeIdleRepeatedly closes the idle connections to endpoints for a time, so that many attempts have to open new ones.
-func (r *runner) closeIdleRepeatedly(length time.Duration) {
+// closeIdleRepeatedly closes the idle connections of a gateway, or of all gateways, to endpoints for a time, so that
+// many attempts have to open new ones.
+func (r *runner) closeIdleRepeatedly(gateway int, length time.Duration) {
 	for remaining := length; remaining > 0; remaining -= closeIdleInterval {
-		r.world.CloseIdleUpstream()
+		r.world.CloseIdleUpstream(gateway)
 		if !r.pause(closeIdleInterval) {
 			return
 		}
--- a/internal/soak/probes.go
+++ b/internal/soak/probes.go
@@ -8,6 +8,7 @@
 	"net"
 	"net/http"
 	"os"
+	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -159,17 +160,26 @@
 
 // Parameters of evictions.
 const (
-	evictionProbes    = 720                   // more connections than a gateway has file descriptors for clients
-	evictionsPerRound = 8                     // new connections that are opened at once
-	evictionInterval  = 10 * time.Millisecond // time between two rounds
+	evictionProbes = 1000 // more connections than a gateway has file descriptors for clients
+	// probesPerKeptConnection is the number of probes for each connection that is opened for the emulated clients.
+	probesPerKeptConnection = 8
+
+	evictionsPerRound = 4                     // new connections that are opened at once
+	evictionInterval  = 12 * time.Millisecond // time between two rounds; a cycle of all probes takes longer than idleTime
 )
 
 // evictRequests fills the connection table of a gateway with probes. Then it opens further connections, so that the
 // gateway evicts the connection that has been idle for longest. The probes send requests in that order, each at the
-// moment at which its connection is likely to be evicted. alive reports false when the run ends.
-func (c *probes) evictRequests(address string, random *rand.Rand, pause func(time.Duration) bool) {
+// moment at which its connection is likely to be evicted. keepConnection adds a connection to those of the emulated
+// clients, which use them in the same order. pause returns false when the load ends.
+func (c *probes) evictRequests(address string, random *rand.Rand, keepConnection func(),
+	pause func(time.Duration) bool) {
 	const idleTime = 2200 * time.Millisecond // a gateway evicts connections only after 2 s of idleness
-	waiting := openProbes(address, evictionProbes)
+	var waiting []*probe
+	for range evictionProbes / probesPerKeptConnection {
+		waiting = append(waiting, openProbes(address, probesPerKeptConnection)...)
+		keepConnection()
+	}
 	defer func() {
 		for _, p := range waiting {
 			p.close()
@@ -179,26 +189,30 @@
 		return
 	}
 	for len(waiting) >= evictionsPerRound {
-		first := waiting[:evictionsPerRound]
-		waiting = waiting[evictionsPerRound:]
-		replacements := make([]*probe, len(first))
-		var round sync.WaitGroup
-		for i, p := range first {
-			seed := random.Uint64()
-			round.Go(func() {
-				c.exchange(p, rand.New(rand.NewPCG(seed, 0)))
-				p.close()
-			})
-			round.Go(func() { replacements[i], _ = openProbe(address) }) // a failure leaves no replacement
-		}
-		round.Wait()
-		for _, p := range replacements {
-			if p != nil {
-				waiting = append(waiting, p)
-			}
-		}
+		waiting = append(waiting[evictionsPerRound:], c.evictionRound(address, waiting[:evictionsPerRound], random)...)
+		keepConnection()
 		if !pause(evictionInterval) {
 			return
 		}
 	}
 }
+
+// evictionRound opens as many connections as there are probes, and meanwhile lets the probes send requests. It returns
+// the probes whose connections remain open, in the order in which the gateway evicts them.
+func (c *probes) evictionRound(address string, current []*probe, random *rand.Rand) []*probe {
+	remaining := make([]*probe, 2*len(current))
+	var round sync.WaitGroup
+	for i, p := range current {
+		seed := random.Uint64()
+		round.Go(func() {
+			if c.exchange(p, rand.New(rand.NewPCG(seed, 0))) {
+				remaining[i] = p
+			} else {
+				p.close()
+			}
+		})
+		round.Go(func() { remaining[len(current)+i], _ = openProbe(address) }) // a failure leaves no replacement
+	}
+	round.Wait()
+	return slices.DeleteFunc(remaining, func(p *probe) bool { return p == nil })
+}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -81,6 +81,7 @@
 		GatewayArgs: options.GatewayArgs,
 		ClockOffset: plan.clockOffset(),
 		ColdStart:   plan.has(ClockOffset),
+		EndpointAge: plan.endpointAge(),
 		KillDelay:   killDelay,
 		Directory:   options.Directory,
 		Observer:    emulator.Observers{checker, starvation, lastObservation{&last}},
