--- a/internal/emulator/loopback/agent.go
+++ b/internal/emulator/loopback/agent.go
@@ -118,7 +118,8 @@
 	return slices.SortedFunc(maps.Values(a.entries), func(x, y policy.Endpoint) int { return cmp.Compare(x.ID, y.ID) })
 }
 
-// notify records that the gateway counts as notified of changes: now, or at deferUntil if it cannot have read them yet.
+// notify records that the gateway counts as notified of changes: now, or at deferUntil if it may not have read them
+// yet. It may have read them, however, so that it may use an endpoint that has become ready from now on.
 func (a *agent) notify(changes []policy.Endpoint) {
 	now := a.world.scheduler.Now()
 	if now >= a.deferUntil {
@@ -126,6 +127,7 @@
 		return
 	}
 	a.deferredChanges = append(a.deferredChanges, changes...)
+	a.world.gateways[a.gateway].observeAvailable(changes)
 	a.world.scheduler.After(a.deferUntil-now, func() {
 		if a.world.scheduler.Now() >= a.deferUntil {
 			a.notifyDeferred()
--- a/internal/emulator/loopback/aimed_faults.go
+++ b/internal/emulator/loopback/aimed_faults.go
@@ -19,6 +19,8 @@
 	hurryShare  float64 // share of the requests that have very little time left
 	rejectShare float64 // share of the attempts that endpoints reject
 	failShare   float64 // share of the executed attempts that are reset or answered with an error
+
+	listFaultShare float64 // share of the endpoint lists and changes whose transmission is damaged
 }
 
 // Ranges from which the times of aimed faults are drawn.
--- a/internal/emulator/loopback/gateway.go
+++ b/internal/emulator/loopback/gateway.go
@@ -228,7 +228,7 @@
 	w := g.world
 	w.observe(emulator.GatewayStarted{Gateway: g.index})
 	_, list := g.latestList()
-	if w.slowListDuration > 0 {
+	if w.listsAreLate() {
 		g.agent.notify(list) // the gateway may still be reading a list that is written slowly
 	} else {
 		g.markNotified(list)
@@ -243,28 +243,6 @@
 	}
 }
 
-// markNotified records that the gateway counts as notified of entries of the endpoint list.
-func (g *gateway) markNotified(list []policy.Endpoint) {
-	for _, entry := range list {
-		g.known[entry.ID] = entry
-		if g.state == gatewayDown {
-			continue
-		}
-		g.world.observe(emulator.EndpointNotified{
-			Gateway:  g.index,
-			Endpoint: entry.ID,
-			State:    entry.State,
-			Started:  entry.StartedAt,
-		})
-	}
-}
-
-// knowsStart reports whether the gateway counts as notified of the latest start of an endpoint.
-func (g *gateway) knowsStart(e *endpoint) bool {
-	entry, known := g.known[e.id]
-	return known && entry.State != policy.StateRemoved && entry.StartedAt == e.server.StartedAt()
-}
-
 // killByFault kills the process without a graceful shutdown, as in a crash.
 func (g *gateway) killByFault() {
 	if g.process == nil || g.state == gatewayDown {
--- a/internal/emulator/loopback/watch.go
+++ b/internal/emulator/loopback/watch.go
@@ -30,6 +30,8 @@
 type watch struct {
 	agent      *agent
 	updates    chan update
+	continuous bool // the watch delivers changes, and is not a call for the complete list
+	damaged    bool // a damaged line has not been completed
 	silent     bool // the watch queues no more updates and sends no keep-alive lines
 	overflowed bool // the watch ended because its queue was full
 }
@@ -87,7 +89,7 @@
 		a.world.scheduler.Do(func() {
 			changed = a.changed
 			if a.answersCalls(generation) {
-				w = &watch{agent: a, updates: make(chan update, watchBacklog)}
+				w = &watch{agent: a, continuous: isWatch, updates: make(chan update, watchBacklog)}
 				detach = a.attach(w, isWatch, after)
 			}
 		})
@@ -117,7 +119,7 @@
 		if !isWatch || after != a.version {
 			w.deliver(policy.UpdateFull, a.version, a.list())
 		}
-		if a.world.slowListDuration == 0 { // a list that is written slowly cannot have been read yet
+		if !a.world.listsAreLate() {
 			a.notifyDeferred()
 		}
 	}
@@ -195,12 +197,20 @@
 // slowListParts is the number of parts in which a complete list is written while the fault SlowLists is active.
 const slowListParts = 10
 
-// writeLine writes the line of a list. While the fault SlowLists is active, it writes a complete list in parts over
-// slowListDuration.
+// writeLine writes the line of a list, and damages it if DamageLists is active. While the fault SlowLists is active, it
+// writes a complete list in parts over slowListDuration.
 func (w *watch) writeLine(response http.ResponseWriter, line []byte, full bool) bool {
 	world := w.agent.world
 	var spread time.Duration
-	world.scheduler.Do(func() { spread = world.slowListDuration })
+	var fault listFault
+	world.scheduler.Do(func() {
+		spread = world.slowListDuration
+		fault = world.drawListFault(world.attemptRandom, len(line))
+		w.damaged = w.damaged || fault.kind != listFaultNone
+	})
+	if fault.kind != listFaultNone {
+		return w.writeDamaged(response, line, fault)
+	}
 	if spread == 0 || !full {
 		_, err := response.Write(line)
 		return err == nil
--- a/internal/soak/aimed_faults.go
+++ b/internal/soak/aimed_faults.go
@@ -33,6 +33,10 @@
 	rejectedShare     = 0.25                   // share of the attempts that endpoints reject
 	failedShare       = 0.5                    // share of the attempts that fail after their execution
 
+	damagedListShare   = 0.6                     // share of the lists and changes that are damaged
+	listChangeInterval = 600 * time.Millisecond  // time between two drains while lists are damaged
+	changedStopDelay   = 2500 * time.Millisecond // from such a drain to the stop of the endpoint
+
 	surgeFactor   = 2 // factor by which the load grows in a surge
 	surgeDowntime = 300 * time.Millisecond
 
@@ -131,6 +135,11 @@
 				r.probes.crossShutdown(address, r.faultRandom(fault, gateway), func() { r.world.RestartGateway(gateway) })
 			})
 		}
+	case DiscoveryBytes:
+		r.world.DamageLists(damagedListShare, fault.Length)
+		for remaining := fault.Length; remaining > 0 && r.pause(listChangeInterval); remaining -= listChangeInterval {
+			r.world.DrainRandomEndpoint(changedStopDelay, drainedRestartDelay)
+		}
 	default:
 		return false
 	}
--- a/internal/soak/kind.go
+++ b/internal/soak/kind.go
@@ -35,6 +35,7 @@
 	ShortDeadlines     Kind = "short_deadlines"      // requests expire during a dial or before a retry
 	EvictedRequests    Kind = "evicted_requests"     // requests arrive as their gateway evicts their connections
 	RequestsAtShutdown Kind = "requests_at_shutdown" // requests on kept connections cross SIGTERM
+	DiscoveryBytes     Kind = "discovery_bytes"      // lists are cut, stalled, corrupted or followed by garbage
 )
 
 // scheduledKinds lists the kinds of fault that a scenario's fault schedule supports.
@@ -52,7 +53,7 @@
 	return append(slices.Clone(scheduledKinds), PauseGateways, CloseLogs, StallLogs, HalfConfigs, FailAccept, FailConnect,
 		SlowLists, ClockOffset, IdleFlood, StalledClients, PipeliningCrowd, LateConnects, SpoiltBytes,
 		DrainDuringDial, LeavingClients, RestartSurge, FailAfterExecution, ShortDeadlines,
-		EvictedRequests, RequestsAtShutdown)
+		EvictedRequests, RequestsAtShutdown, DiscoveryBytes)
 }
 
 // isScheduled reports whether the scenario's fault schedule carries out faults of the kind.
