--- a/internal/emulator/loopback/gateway.go
+++ b/internal/emulator/loopback/gateway.go
@@ -40,15 +40,14 @@
 // gateway is one gateway of the deployment: its process, and its state at the load balancer in front of the gateways.
 // Its fields are accessed only in the scheduler.
 type gateway struct {
-	world            *World
-	index            int
-	zone             int
-	address          string
-	configPath       string
-	logPath          string
-	faultControlPath string   // control file for builds with network hooks for fault injection (build tag faultinjection)
-	systemCallFaults []string // lines of the control file
-	agent            *agent
+	world        *World
+	index        int
+	zone         int
+	address      string
+	configPath   string
+	logPath      string
+	faultControl faultControl // safe for concurrent use
+	agent        *agent
 
 	process           *process // nil while no process runs
 	state             gatewayState
@@ -71,14 +70,14 @@
 func newGateway(w *World, index int, address string) (*gateway, error) {
 	name := fmt.Sprintf("gateway-%d", index)
 	g := &gateway{
-		world:            w,
-		index:            index,
-		zone:             model.ZoneOf(w.scenario, index),
-		address:          address,
-		configPath:       filepath.Join(w.options.Directory, name+".json"),
-		logPath:          filepath.Join(w.options.Directory, name+".log"),
-		faultControlPath: filepath.Join(w.options.Directory, name+".faults"),
-		known:            map[policy.EndpointID]policy.Endpoint{},
+		world:        w,
+		index:        index,
+		zone:         model.ZoneOf(w.scenario, index),
+		address:      address,
+		configPath:   filepath.Join(w.options.Directory, name+".json"),
+		logPath:      filepath.Join(w.options.Directory, name+".log"),
+		faultControl: faultControl{path: filepath.Join(w.options.Directory, name+".faults")},
+		known:        map[policy.EndpointID]policy.Endpoint{},
 	}
 	var err error
 	if g.agent, err = newAgent(w, index); err != nil {
@@ -156,7 +155,7 @@
 	err := g.writeConfig()
 	if err == nil {
 		g.process, err = newProcess(w.ctx, w.options.Gateway, w.options.GatewayArgs,
-			processPaths{config: g.configPath, log: g.logPath, faultControl: g.faultControlPath})
+			processPaths{config: g.configPath, log: g.logPath, faultControl: g.faultControl.path})
 	}
 	if err != nil {
 		w.logger.Error("starting a gateway failed", "gateway", g.index, "err", err)
--- a/internal/emulator/loopback/process_faults.go
+++ b/internal/emulator/loopback/process_faults.go
@@ -2,7 +2,6 @@
 
 import (
 	"os"
-	"strings"
 	"syscall"
 	"time"
 )
@@ -64,32 +63,6 @@
 	})
 }
 
-// FailSystemCalls makes system calls of a gateway fail for a time, if its program is built with network hooks for fault
-// injection (build tag faultinjection). fault is a line of the control file, which package faultinjection describes.
-func (w *World) FailSystemCalls(index int, fault string, length time.Duration) {
-	w.scheduler.Do(func() {
-		g := w.gateways[index]
-		g.systemCallFaults = append(g.systemCallFaults, fault)
-		g.writeFaultControl()
-		w.scheduler.After(length, func() {
-			g.systemCallFaults = deleteItem(g.systemCallFaults, fault)
-			g.writeFaultControl()
-		})
-	})
-}
-
-// writeFaultControl replaces the control file of the gateway atomically.
-func (g *gateway) writeFaultControl() {
-	temporaryPath := g.faultControlPath + ".new"
-	err := os.WriteFile(temporaryPath, []byte(strings.Join(g.systemCallFaults, "\n")), 0o600)
-	if err == nil {
-		err = os.Rename(temporaryPath, g.faultControlPath)
-	}
-	if err != nil {
-		g.world.logger.Error("writing a control file failed", "gateway", g.index, "err", err)
-	}
-}
-
 // SlowLists makes agents write complete endpoint lists slowly for the time length. The bytes of each list are sent over
 // the time spread.
 func (w *World) SlowLists(spread, length time.Duration) {
