--- a/internal/emulator/loopback/aimed_faults.go
+++ b/internal/emulator/loopback/aimed_faults.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 	"net"
+	"net/http"
 	"sync"
 	"time"
 
@@ -20,6 +21,8 @@
 	rejectShare float64 // share of the attempts that endpoints reject
 	failShare   float64 // share of the executed attempts that are reset or answered with an error
 
+	variedShare float64 // share of the requests that are sent in unusual forms
+
 	listFaultShare float64 // share of the endpoint lists and changes whose transmission is damaged
 }
 
@@ -125,6 +128,9 @@
 		r.arrival.Deadline = min(r.arrival.Deadline, w.scheduler.Now()+w.drawDuration(minTimeLeft, maxTimeLeft))
 		r.arrival.AbandonAt = 0
 	}
+	if w.attemptRandom.Float64() < w.aimed.variedShare {
+		r.transmission = drawTransmission(w.attemptRandom, r.message.method == http.MethodPost)
+	}
 	if w.attemptRandom.Float64() < w.aimed.leaveShare {
 		r.leavesOnFailure = true
 		w.scheduler.After(w.drawDuration(minLeaveDelay, maxLeaveDelay), r.departure.leave)
--- a/internal/emulator/loopback/client.go
+++ b/internal/emulator/loopback/client.go
@@ -155,10 +155,11 @@
 	}
 	r.departure.beginWait(c.Conn)
 	defer r.departure.endWait()
-	wait := r.arrival.Deadline - time.Duration(time.Now().UnixNano())
-	encoded := r.message.encode(max(time.Millisecond, wait))
+	// The client states the time that it will have left when it has sent the last byte.
+	wait := r.arrival.Deadline - time.Duration(time.Now().UnixNano()) - r.transmission.length()
+	encoded := r.transmission.encode(&r.message, max(time.Millisecond, wait))
 	c.sent = beginSending(c.Conn, len(encoded))
-	if _, err := c.Write(encoded); err != nil {
+	if err := r.transmission.write(c, encoded); err != nil {
 		return nil, "", err
 	}
 	if _, err := c.reader.Peek(1); err != nil {
--- a/internal/emulator/loopback/request.go
+++ b/internal/emulator/loopback/request.go
@@ -1,7 +1,6 @@
 package loopback
 
 import (
-	"bytes"
 	"fmt"
 	"net/http"
 	"time"
@@ -23,6 +22,7 @@
 type request struct {
 	arrival            model.Arrival // the try, routed by the load balancer in front of the gateways
 	message            message
+	transmission       transmission // form in which the client sends the message; does not change once it is sent
 	inFlight           []*attempt
 	attempts           int
 	bodies             []string // bodies of the complete responses that endpoints made for the request
@@ -68,21 +68,9 @@
 	return m
 }
 
-// encode returns the bytes that a client sends. wait is how long the client waits for the answer, which it states in
-// the Req-Deadline header.
-func (m *message) encode(wait time.Duration) []byte {
-	var text bytes.Buffer
-	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: origin.svc\r\n", m.method, m.path)
-	for _, line := range m.header {
-		text.WriteString(line + "\r\n")
-	}
-	fmt.Fprintf(&text, "Req-Deadline: %.3f\r\n", wait.Seconds())
-	if m.method == http.MethodPost {
-		fmt.Fprintf(&text, "Content-Length: %d\r\n", len(m.body))
-	}
-	text.WriteString("\r\n" + m.body)
-	return text.Bytes()
-}
+// encode returns the bytes that a client sends in the usual form. wait is how long the client waits for the answer,
+// which it states in the Req-Deadline header.
+func (m *message) encode(wait time.Duration) []byte { return (&transmission{}).encode(m, wait) }
 
 // matches reports whether a received attempt carries the message unchanged.
 func (m *message) matches(received receivedRequest) bool {
--- a/internal/soak/aimed_faults.go
+++ b/internal/soak/aimed_faults.go
@@ -37,6 +37,8 @@
 	listChangeInterval = 600 * time.Millisecond  // time between two drains while lists are damaged
 	changedStopDelay   = 2500 * time.Millisecond // from such a drain to the stop of the endpoint
 
+	variedShare = 0.7 // share of the requests in unusual forms
+
 	surgeFactor   = 2 // factor by which the load grows in a surge
 	surgeDowntime = 300 * time.Millisecond
 
@@ -140,6 +142,8 @@
 		for remaining := fault.Length; remaining > 0 && r.pause(listChangeInterval); remaining -= listChangeInterval {
 			r.world.DrainRandomEndpoint(changedStopDelay, drainedRestartDelay)
 		}
+	case ClientBytes:
+		r.world.VaryRequests(variedShare, fault.Length)
 	default:
 		return false
 	}
--- a/internal/soak/kind.go
+++ b/internal/soak/kind.go
@@ -36,6 +36,7 @@
 	EvictedRequests    Kind = "evicted_requests"     // requests arrive as their gateway evicts their connections
 	RequestsAtShutdown Kind = "requests_at_shutdown" // requests on kept connections cross SIGTERM
 	DiscoveryBytes     Kind = "discovery_bytes"      // lists are cut, stalled, corrupted or followed by garbage
+	ClientBytes        Kind = "client_bytes"         // requests arrive in pieces and in unusual forms
 )
 
 // scheduledKinds lists the kinds of fault that a scenario's fault schedule supports.
@@ -53,7 +54,7 @@
 	return append(slices.Clone(scheduledKinds), PauseGateways, CloseLogs, StallLogs, HalfConfigs, FailAccept, FailConnect,
 		SlowLists, ClockOffset, IdleFlood, StalledClients, PipeliningCrowd, LateConnects, SpoiltBytes,
 		DrainDuringDial, LeavingClients, RestartSurge, FailAfterExecution, ShortDeadlines,
-		EvictedRequests, RequestsAtShutdown, DiscoveryBytes)
+		EvictedRequests, RequestsAtShutdown, DiscoveryBytes, ClientBytes)
 }
 
 // isScheduled reports whether the scenario's fault schedule carries out faults of the kind.
