--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -74,8 +74,9 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	var cfg *config.Config
+	readFile := configReader()
 	err := oserror.RetryShortage(ctx, func() (err error) {
-		cfg, err = config.Load(os.Getenv)
+		cfg, err = config.LoadWith(os.Getenv, readFile)
 		return err
 	})
 	if err != nil {
--- a/cmd/gateway/network_hooks_faultinjection.go
+++ b/cmd/gateway/network_hooks_faultinjection.go
@@ -5,6 +5,7 @@
 import (
 	"os"
 
+	"springfield/internal/config"
 	"springfield/internal/faultinjection"
 	"springfield/internal/gateway"
 )
@@ -15,3 +16,8 @@
 	injector := faultinjection.New(os.Getenv(faultinjection.ControlVariable))
 	return gateway.NetworkHooks{Listener: injector.Listener, Dial: injector.Dial}
 }
+
+// configReader returns a reader of the configuration file that fails as the control file says.
+func configReader() config.FileReader {
+	return faultinjection.New(os.Getenv(faultinjection.ControlVariable)).ReadFile
+}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -40,9 +40,13 @@
 	Known     discovery.EndpointList // last list that the gateway had, used until discovery answers
 	Settings  settings.Settings
 
-	path string // path of the configuration file
+	path     string     // path of the configuration file
+	readFile FileReader // nil selects os.ReadFile
 }
 
+// FileReader reads the file with the given path, as os.ReadFile does.
+type FileReader func(path string) ([]byte, error)
+
 // Limits bounds the resources of the gateway process.
 type Limits struct {
 	MemoryMB int `json:"memory_mb"`
@@ -50,12 +54,15 @@
 }
 
 // Load reads the file that the environment names, applies the overriding variables and validates the result.
-func Load(getenv func(string) string) (*Config, error) {
+func Load(getenv func(string) string) (*Config, error) { return LoadWith(getenv, os.ReadFile) }
+
+// LoadWith is like Load, but reads the file with readFile, now and at each reload.
+func LoadWith(getenv func(string) string, readFile FileReader) (*Config, error) {
 	path := getenv(pathVariable)
 	if path == "" {
 		return nil, ErrNoPath
 	}
-	c, err := read(path)
+	c, err := readWith(readFile, path)
 	if err != nil {
 		return nil, err
 	}
@@ -68,13 +75,16 @@
 	return c, nil
 }
 
-// read parses a file without validating its values.
-func read(path string) (*Config, error) {
-	text, err := os.ReadFile(path)
+// readWith parses a file without validating its values.
+func readWith(readFile FileReader, path string) (*Config, error) {
+	if readFile == nil {
+		readFile = os.ReadFile
+	}
+	text, err := readFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("read the configuration: %w", err)
 	}
-	c := &Config{path: path}
+	c := &Config{path: path, readFile: readFile}
 	if err := json.Unmarshal(text, c); err != nil {
 		return nil, fmt.Errorf("parse %s: %w", path, err)
 	}
--- a/internal/config/helper_test.go
+++ b/internal/config/helper_test.go
@@ -22,6 +22,9 @@
 	}
 }
 
+// read parses a file without validating its values.
+func read(path string) (*Config, error) { return readWith(nil, path) }
+
 // newFile creates a configuration file with the given text and returns its path.
 func newFile(t *testing.T, text string) string {
 	t.Helper()
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -29,7 +29,7 @@
 // Reload reads the file again. It ignores the environment variables, which cannot change after the process has started.
 // The error wraps an *IncompatibleError if the file belongs to another gateway or deployment.
 func (c *Config) Reload() (*Config, error) {
-	reloaded, err := read(c.path)
+	reloaded, err := readWith(c.readFile, c.path)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/emulator/loopback/faults.go
+++ b/internal/emulator/loopback/faults.go
@@ -135,17 +135,23 @@
 		return
 	}
 	for _, g := range t.w.gateways {
-		err := g.agent.moveToNewAddress()
-		if err == nil {
-			err = g.writeConfig()
-		}
-		if err != nil {
-			t.w.logger.Error("moving discovery failed", "gateway", g.index, "err", err)
-			continue
-		}
-		if g.process != nil {
-			g.signal(syscall.SIGHUP)
-		}
+		g.moveDiscovery()
+	}
+}
+
+// moveDiscovery moves the agent of the gateway to a new address, writes that address to the configuration and sends
+// SIGHUP.
+func (g *gateway) moveDiscovery() {
+	err := g.agent.moveToNewAddress()
+	if err == nil {
+		err = g.writeConfig()
+	}
+	if err != nil {
+		g.world.logger.Error("moving discovery failed", "gateway", g.index, "err", err)
+		return
+	}
+	if g.process != nil {
+		g.signal(syscall.SIGHUP)
 	}
 }
 
--- a/internal/emulator/loopback/process_faults.go
+++ b/internal/emulator/loopback/process_faults.go
@@ -63,6 +63,10 @@
 	})
 }
 
+// MoveDiscovery moves discovery to a new address for one gateway, writes that address to its configuration and sends
+// SIGHUP.
+func (w *World) MoveDiscovery(index int) { w.scheduler.Do(w.gateways[index].moveDiscovery) }
+
 // SlowLists makes agents write complete endpoint lists slowly for the time length. The bytes of each list are sent over
 // the time spread.
 func (w *World) SlowLists(spread, length time.Duration) {
--- a/internal/faultinjection/faultinjection.go
+++ b/internal/faultinjection/faultinjection.go
@@ -8,6 +8,7 @@
 	"net"
 	"os"
 	"strings"
+	"sync/atomic"
 	"syscall"
 	"time"
 )
@@ -21,6 +22,7 @@
 const (
 	Accept  = "accept"
 	Connect = "connect"
+	Read    = "read" // reading the configuration file again after the first successful read
 )
 
 // Errors maps the error names of the control file to error numbers.
@@ -35,10 +37,16 @@
 	"EHOSTUNREACH":  syscall.EHOSTUNREACH,
 	"ENETDOWN":      syscall.ENETDOWN,
 	"EADDRNOTAVAIL": syscall.EADDRNOTAVAIL,
+	"EINTR":         syscall.EINTR,
+	"EIO":           syscall.EIO,
+	"ENOENT":        syscall.ENOENT,
 }
 
 // Injector makes operations fail as its control file specifies.
-type Injector struct{ controlFile string }
+type Injector struct {
+	controlFile string
+	hasRead     atomic.Bool // a file has been read
+}
 
 // New returns an injector that follows the control file. With an empty path it injects no failures.
 func New(controlFile string) *Injector { return &Injector{controlFile: controlFile} }
@@ -130,3 +138,25 @@
 	var dialer net.Dialer
 	return dialer.DialContext(ctx, network, address)
 }
+
+// Short may stand in place of an error name for Read. It makes a read return only the first half of the file.
+const Short = "SHORT"
+
+// ReadFile reads a file as os.ReadFile does, or with an injected failure if the control file specifies one. The first
+// read of a process succeeds, because a process that cannot read its configuration at its start has to end.
+func (i *Injector) ReadFile(path string) ([]byte, error) {
+	if !i.hasRead.Load() {
+		text, err := os.ReadFile(path)
+		i.hasRead.Store(err == nil)
+		return text, err
+	}
+	if err := i.failure(Read); err != nil {
+		return nil, &os.PathError{Op: Read, Path: path, Err: err}
+	}
+	text, err := os.ReadFile(path)
+	control, controlErr := os.ReadFile(i.controlFile)
+	if err == nil && controlErr == nil && strings.Contains(string(control), Read+" "+Short) {
+		text = text[:len(text)/2]
+	}
+	return text, err
+}
--- a/internal/faultinjection/faultinjection_test.go
+++ b/internal/faultinjection/faultinjection_test.go
@@ -95,3 +95,33 @@
 		_ = conn.Close() // nothing was sent on it
 	}
 }
+
+// A configuration file must be read with the failure that the control file names, except at the first time.
+func TestReadFailsAsControlFileSaysAfterFirstRead(t *testing.T) {
+	directory := t.TempDir()
+	control, file := filepath.Join(directory, "faults"), filepath.Join(directory, "config")
+	const text = "0123456789"
+	injector := faultinjection.New(control)
+	for i, test := range []struct {
+		fault, want string
+		err         error
+	}{
+		{"read EIO", text, nil}, // the first read
+		{"", text, nil},
+		{"read EIO", "", syscall.EIO},
+		{"read ENOENT", "", os.ErrNotExist},
+		{"accept EMFILE\nread EMFILE\n", "", syscall.EMFILE},
+		{"read SHORT", text[:5], nil},
+		{"accept EIO", text, nil},
+	} {
+		for name, content := range map[string]string{control: test.fault, file: text} {
+			if err := os.WriteFile(name, []byte(content), 0o600); err != nil {
+				t.Fatal(err)
+			}
+		}
+		got, err := injector.ReadFile(file)
+		if string(got) != test.want || !errors.Is(err, test.err) {
+			t.Errorf("read %d with %q: got %q, %v; want %q, %v", i, test.fault, got, err, test.want, test.err)
+		}
+	}
+}
--- a/internal/soak/aimed_faults.go
+++ b/internal/soak/aimed_faults.go
@@ -37,6 +37,9 @@
 	listChangeInterval = 600 * time.Millisecond  // time between two drains while lists are damaged
 	changedStopDelay   = 2500 * time.Millisecond // from such a drain to the stop of the endpoint
 
+	configMoves        = 3                      // number of moves of discovery, and of SIGHUP
+	configMoveInterval = 150 * time.Millisecond // time between two moves
+
 	variedShare = 0.7 // share of the requests in unusual forms
 
 	surgeFactor   = 2 // factor by which the load grows in a surge
@@ -68,12 +71,44 @@
 // injectEarly carries out a fault that needs preparation from the start of the load on. It reports false for other
 // kinds.
 func (r *runner) injectEarly(fault Fault) bool {
-	if fault.Kind != EvictedRequests {
+	if fault.Kind != EvictedRequests && fault.Kind != ConfigReads {
 		return false
 	}
 	if !r.pause(startDelay) {
 		return true
 	}
+	if fault.Kind == ConfigReads {
+		r.failConfigReads(fault)
+	} else {
+		r.evictRequests(fault)
+	}
+	return true
+}
+
+// failConfigReads makes reads of the configuration fail at some gateways while discovery moves to new addresses, with
+// SIGHUP each time. Then an endpoint drains for the rest of the run, which gateways learn only at the last address.
+func (r *runner) failConfigReads(fault Fault) {
+	gateways := r.pickGateways(fault)
+	for position, gateway := range gateways {
+		failure := readFailures[r.errorIndex(position, len(readFailures))]
+		r.world.FailSystemCalls(gateway, faultinjection.Read+" "+failure, min(fault.Length, configRereadTime))
+	}
+	for range configMoves {
+		for _, gateway := range gateways {
+			r.world.MoveDiscovery(gateway)
+		}
+		if !r.pause(configMoveInterval) {
+			return
+		}
+	}
+	r.world.DrainRandomEndpoint(loadLength, 0)
+}
+
+// readFailures lists the failures of reads of a configuration. Each affected gateway gets one of them.
+var readFailures = []string{"EIO", faultinjection.Short, "EINTR", "EMFILE", "ENOENT"}
+
+// evictRequests makes a gateway evict connections while requests arrive on them.
+func (r *runner) evictRequests(fault Fault) {
 	gateway := r.pickGateways(fault)[0]
 	// Requests at this gateway spend most of their time before the first byte of their attempts.
 	r.world.FailSystemCalls(gateway, faultinjection.LateConnect(evictedConnectDelay), loadLength)
@@ -81,7 +116,6 @@
 	keepConnection := func() { _ = r.world.KeepConnection(gateway) } // a failure leaves one connection less
 	address := r.world.Addresses().Gateways[gateway].Listen
 	r.probes.evictRequests(address, r.faultRandom(fault, gateway), keepConnection, r.pause)
-	return true
 }
 
 // startDelay is the time from the start of a run until its load has begun.
--- a/internal/soak/kind.go
+++ b/internal/soak/kind.go
@@ -37,6 +37,7 @@
 	RequestsAtShutdown Kind = "requests_at_shutdown" // requests on kept connections cross SIGTERM
 	DiscoveryBytes     Kind = "discovery_bytes"      // lists are cut, stalled, corrupted or followed by garbage
 	ClientBytes        Kind = "client_bytes"         // requests arrive in pieces and in unusual forms
+	ConfigReads        Kind = "config_reads"         // reads of new configurations fail, and SIGHUP comes several times
 )
 
 // scheduledKinds lists the kinds of fault that a scenario's fault schedule supports.
@@ -54,7 +55,8 @@
 	return append(slices.Clone(scheduledKinds), PauseGateways, CloseLogs, StallLogs, HalfConfigs, FailAccept, FailConnect,
 		SlowLists, ClockOffset, IdleFlood, StalledClients, PipeliningCrowd, LateConnects, SpoiltBytes,
 		DrainDuringDial, LeavingClients, RestartSurge, FailAfterExecution, ShortDeadlines,
-		EvictedRequests, RequestsAtShutdown, DiscoveryBytes, ClientBytes)
+		EvictedRequests, RequestsAtShutdown, DiscoveryBytes, ClientBytes,
+		ConfigReads)
 }
 
 // isScheduled reports whether the scenario's fault schedule carries out faults of the kind.
