--- a/cmd/springfield/soak.go
+++ b/cmd/springfield/soak.go
@@ -23,7 +23,7 @@
 	UntilFinding bool      `help:"Stop after the first run with a finding."`
 	JSON         bool      `help:"Print one JSON object per run instead of text."`
 	Gateway      string    `type:"path" placeholder:"FILE" help:"Sockets: program built with -tags faultinjection."`
-	Gateways     int       `name:"max-gateways" placeholder:"N" help:"Sockets: most gateways. Default: by half the memory."`
+	Gateways     int       `name:"max-gateways" placeholder:"N" help:"Sockets: most gateways. Default: by memory."`
 	Shrink       bool      `help:"Sockets: rerun seeds with findings to determine which faults they need."`
 	Keep         string    `type:"path" placeholder:"DIR" help:"Sockets: keep the files of runs with findings in DIR."`
 
--- a/internal/emulator/loopback/aimed_faults.go
+++ b/internal/emulator/loopback/aimed_faults.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 	"net"
+	"net/http"
 	"sync"
 	"time"
 
@@ -19,6 +20,10 @@
 	hurryShare  float64 // share of the requests that have very little time left
 	rejectShare float64 // share of the attempts that endpoints reject
 	failShare   float64 // share of the executed attempts that are reset or answered with an error
+
+	variedShare float64 // share of the requests that are sent in unusual forms
+
+	listFaultShare float64 // share of the endpoint lists and changes whose transmission is damaged
 }
 
 // Ranges from which the times of aimed faults are drawn.
@@ -59,19 +64,22 @@
 	})
 }
 
-// CloseIdleUpstream closes the idle connections of gateways to all endpoints, so that the next attempts have to open
-// new ones.
-func (w *World) CloseIdleUpstream() {
+// AllGateways may stand in place of the index of a gateway for CloseIdleUpstream.
+const AllGateways = -1
+
+// CloseIdleUpstream closes the idle connections of a gateway, or of all gateways, to all endpoints. The next attempts
+// have to open new ones.
+func (w *World) CloseIdleUpstream(gateway int) {
 	w.scheduler.Do(func() {
 		for _, e := range w.endpoints {
-			e.closeIdleConnections()
+			e.closeIdleConnections(gateway)
 		}
 	})
 }
 
-func (e *endpoint) closeIdleConnections() {
+func (e *endpoint) closeIdleConnections(gateway int) {
 	for _, c := range e.connections {
-		if c.current == nil {
+		if c.current == nil && c.used && (gateway == AllGateways || gateway == c.gateway) {
 			c.resetLocally = true // a request that is arriving is not handled
 			_ = c.conn.Close()    // the connection may be closed already
 		}
@@ -120,6 +128,9 @@
 		r.arrival.Deadline = min(r.arrival.Deadline, w.scheduler.Now()+w.drawDuration(minTimeLeft, maxTimeLeft))
 		r.arrival.AbandonAt = 0
 	}
+	if w.attemptRandom.Float64() < w.aimed.variedShare {
+		r.transmission = drawTransmission(w.attemptRandom, r.message.method == http.MethodPost)
+	}
 	if w.attemptRandom.Float64() < w.aimed.leaveShare {
 		r.leavesOnFailure = true
 		w.scheduler.After(w.drawDuration(minLeaveDelay, maxLeaveDelay), r.departure.leave)
--- a/internal/emulator/loopback/gateway.go
+++ b/internal/emulator/loopback/gateway.go
@@ -40,15 +40,14 @@
 // gateway is one gateway of the deployment: its process, and its state at the load balancer in front of the gateways.
 // Its fields are accessed only in the scheduler.
 type gateway struct {
-	world            *World
-	index            int
-	zone             int
-	address          string
-	configPath       string
-	logPath          string
-	faultControlPath string   // control file for builds with network hooks for fault injection (build tag faultinjection)
-	systemCallFaults []string // lines of the control file
-	agent            *agent
+	world        *World
+	index        int
+	zone         int
+	address      string
+	configPath   string
+	logPath      string
+	faultControl faultControl // safe for concurrent use
+	agent        *agent
 
 	process           *process // nil while no process runs
 	state             gatewayState
@@ -62,6 +61,7 @@
 
 	known           map[policy.EndpointID]policy.Endpoint // latest list entries of which the gateway counts as notified
 	idleConnections []*clientConnection                   // kept connections, the most recently used one last
+	reuseOldest     bool                                  // clients use the connection that has been idle for longest
 	openExchanges   int                                   // number of client requests without an outcome
 	onExchangesDone func()                                // called when openExchanges falls to 0; may be nil
 }
@@ -70,14 +70,14 @@
 func newGateway(w *World, index int, address string) (*gateway, error) {
 	name := fmt.Sprintf("gateway-%d", index)
 	g := &gateway{
-		world:            w,
-		index:            index,
-		zone:             model.ZoneOf(w.scenario, index),
-		address:          address,
-		configPath:       filepath.Join(w.options.Directory, name+".json"),
-		logPath:          filepath.Join(w.options.Directory, name+".log"),
-		faultControlPath: filepath.Join(w.options.Directory, name+".faults"),
-		known:            map[policy.EndpointID]policy.Endpoint{},
+		world:        w,
+		index:        index,
+		zone:         model.ZoneOf(w.scenario, index),
+		address:      address,
+		configPath:   filepath.Join(w.options.Directory, name+".json"),
+		logPath:      filepath.Join(w.options.Directory, name+".log"),
+		faultControl: faultControl{path: filepath.Join(w.options.Directory, name+".faults")},
+		known:        map[policy.EndpointID]policy.Endpoint{},
 	}
 	var err error
 	if g.agent, err = newAgent(w, index); err != nil {
@@ -155,7 +155,7 @@
 	err := g.writeConfig()
 	if err == nil {
 		g.process, err = newProcess(w.ctx, w.options.Gateway, w.options.GatewayArgs,
-			processPaths{config: g.configPath, log: g.logPath, faultControl: g.faultControlPath,
+			processPaths{config: g.configPath, log: g.logPath, faultControl: g.faultControl.path,
 				coverage: w.options.CoverageDirectory})
 	}
 	if err != nil {
@@ -228,7 +228,7 @@
 	w := g.world
 	w.observe(emulator.GatewayStarted{Gateway: g.index})
 	_, list := g.latestList()
-	if w.slowListDuration > 0 {
+	if w.listsAreLate() {
 		g.agent.notify(list) // the gateway may still be reading a list that is written slowly
 	} else {
 		g.markNotified(list)
@@ -243,28 +243,6 @@
 	}
 }
 
-// markNotified records that the gateway counts as notified of entries of the endpoint list.
-func (g *gateway) markNotified(list []policy.Endpoint) {
-	for _, entry := range list {
-		g.known[entry.ID] = entry
-		if g.state == gatewayDown {
-			continue
-		}
-		g.world.observe(emulator.EndpointNotified{
-			Gateway:  g.index,
-			Endpoint: entry.ID,
-			State:    entry.State,
-			Started:  entry.StartedAt,
-		})
-	}
-}
-
-// knowsStart reports whether the gateway counts as notified of the latest start of an endpoint.
-func (g *gateway) knowsStart(e *endpoint) bool {
-	entry, known := g.known[e.id]
-	return known && entry.State != policy.StateRemoved && entry.StartedAt == e.server.StartedAt()
-}
-
 // killByFault kills the process without a graceful shutdown, as in a crash.
 func (g *gateway) killByFault() {
 	if g.process == nil || g.state == gatewayDown {
--- a/internal/soak/aimed_faults.go
+++ b/internal/soak/aimed_faults.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"springfield/internal/emulator"
+	"springfield/internal/emulator/loopback"
+	"springfield/internal/faultinjection"
 )
 
 // Parameters of aimed faults. A delayed connect takes longer than the limit that the gateway has to keep meanwhile, and
@@ -25,12 +27,27 @@
 	shortDeadlineConnectDelay = 60 * time.Millisecond
 	hurriedShare              = 0.5 // share of the requests that have little time left
 
+	evictedConnectDelay = 150 * time.Millisecond // at the gateway that evicts connections
+
 	closeIdleInterval = 250 * time.Millisecond // time between two closes of all idle connections to endpoints
 	rejectedShare     = 0.25                   // share of the attempts that endpoints reject
 	failedShare       = 0.5                    // share of the attempts that fail after their execution
 
+	damagedListShare   = 0.6                     // share of the lists and changes that are damaged
+	listChangeInterval = 600 * time.Millisecond  // time between two drains while lists are damaged
+	changedStopDelay   = 2500 * time.Millisecond // from such a drain to the stop of the endpoint
+
+	configMoves        = 3                      // number of moves of discovery, and of SIGHUP
+	configMoveInterval = 150 * time.Millisecond // time between two moves
+
+	variedShare = 0.7 // share of the requests in unusual forms
+
 	surgeFactor   = 2 // factor by which the load grows in a surge
 	surgeDowntime = 300 * time.Millisecond
+
+	// surgeInitialCapacity is the share of its capacity with which an endpoint starts in a surge. With a larger share,
+	// the limits of the gateways on attempts in flight keep the bound of slow start by themselves.
+	surgeInitialCapacity = 0.05
 )
 
 // aimScenario adapts the scenario of a run to its aimed faults.
@@ -46,6 +63,7 @@
 			scenario.Clients.BurstAt = emulator.Duration(fault.At)
 			scenario.Clients.BurstLength = emulator.Duration(fault.Length)
 			scenario.Clients.BurstFactor = surgeFactor
+			scenario.WarmUp.InitialCapacity = surgeInitialCapacity
 		}
 	}
 }
@@ -53,17 +71,53 @@
 // injectEarly carries out a fault that needs preparation from the start of the load on. It reports false for other
 // kinds.
 func (r *runner) injectEarly(fault Fault) bool {
-	if fault.Kind != EvictedRequests {
+	if fault.Kind != EvictedRequests && fault.Kind != ConfigReads {
 		return false
 	}
 	if !r.pause(startDelay) {
 		return true
 	}
-	gateway := r.pickGateways(fault)[0]
-	r.probes.evictRequests(r.world.Addresses().Gateways[gateway].Listen, r.faultRandom(fault, gateway), r.pause)
+	if fault.Kind == ConfigReads {
+		r.failConfigReads(fault)
+	} else {
+		r.evictRequests(fault)
+	}
 	return true
 }
 
+// failConfigReads makes reads of the configuration fail at some gateways while discovery moves to new addresses, with
+// SIGHUP each time. Then an endpoint drains for the rest of the run, which gateways learn only at the last address.
+func (r *runner) failConfigReads(fault Fault) {
+	gateways := r.pickGateways(fault)
+	for position, gateway := range gateways {
+		failure := readFailures[r.errorIndex(position, len(readFailures))]
+		r.world.FailSystemCalls(gateway, faultinjection.Read+" "+failure, min(fault.Length, configRereadTime))
+	}
+	for range configMoves {
+		for _, gateway := range gateways {
+			r.world.MoveDiscovery(gateway)
+		}
+		if !r.pause(configMoveInterval) {
+			return
+		}
+	}
+	r.world.DrainRandomEndpoint(r.plan.loadLength(), 0)
+}
+
+// readFailures lists the failures of reads of a configuration. Each affected gateway gets one of them.
+var readFailures = []string{"EIO", faultinjection.Short, "EINTR", "EMFILE", "ENOENT"}
+
+// evictRequests makes a gateway evict connections while requests arrive on them.
+func (r *runner) evictRequests(fault Fault) {
+	gateway := r.pickGateways(fault)[0]
+	// Requests at this gateway spend most of their time before the first byte of their attempts.
+	r.world.FailSystemCalls(gateway, faultinjection.LateConnect(evictedConnectDelay), r.plan.loadLength())
+	r.faultyClients.goroutines.Go(func() { r.closeIdleRepeatedly(gateway, r.plan.loadLength()) })
+	keepConnection := func() { _ = r.world.KeepConnection(gateway) } // a failure leaves one connection less
+	address := r.world.Addresses().Gateways[gateway].Listen
+	r.probes.evictRequests(address, r.faultRandom(fault, gateway), keepConnection, r.pause)
+}
+
 // startDelay is the time from the start of a run until its load has begun.
 const startDelay = 300 * time.Millisecond
 
@@ -81,6 +135,16 @@
 	return int(r.probes.lost.Load())
 }
 
+// endpointAge returns how long ago the endpoints of a run started. A restart must be noticed both with and without a
+// known start time before. The age is longer than any plausible offset of a clock.
+func (p *Plan) endpointAge() time.Duration {
+	const age = 3 * time.Hour
+	if p.has(RestartSurge) || p.Seed%2 == 1 {
+		return age
+	}
+	return 0
+}
+
 // injectAimed carries out a fault that is aimed at a state of the gateways. It reports false for other kinds.
 func (r *runner) injectAimed(fault Fault) bool {
 	switch fault.Kind {
@@ -90,7 +154,7 @@
 		r.world.DisconnectClients(leaveShare, fault.Length)
 		r.world.RejectAttempts(rejectedShare, fault.Length)
 		r.world.DelayConnects(leaveConnectDelay, fault.Length)
-		r.closeIdleRepeatedly(fault.Length)
+		r.closeIdleRepeatedly(loopback.AllGateways, fault.Length)
 	case RestartSurge:
 		r.world.RestartEndpoints(surgeDowntime)
 	case FailAfterExecution:
@@ -99,7 +163,7 @@
 		r.world.HurryClients(hurriedShare, fault.Length)
 		r.world.RejectAttempts(rejectedShare, fault.Length)
 		r.world.DelayConnects(shortDeadlineConnectDelay, fault.Length)
-		r.closeIdleRepeatedly(fault.Length)
+		r.closeIdleRepeatedly(loopback.AllGateways, fault.Length)
 	case RequestsAtShutdown:
 		for _, gateway := range r.pickGateways(fault) {
 			address := r.world.Addresses().Gateways[gateway].Listen
@@ -107,6 +171,13 @@
 				r.probes.crossShutdown(address, r.faultRandom(fault, gateway), func() { r.world.RestartGateway(gateway) })
 			})
 		}
+	case DiscoveryBytes:
+		r.world.DamageLists(damagedListShare, fault.Length)
+		for remaining := fault.Length; remaining > 0 && r.pause(listChangeInterval); remaining -= listChangeInterval {
+			r.world.DrainRandomEndpoint(changedStopDelay, drainedRestartDelay)
+		}
+	case ClientBytes:
+		r.world.VaryRequests(variedShare, fault.Length)
 	default:
 		return false
 	}
@@ -118,7 +189,7 @@
 func (r *runner) drainDuringDials(length time.Duration) {
 	r.world.DelayConnects(drainConnectDelay, length)
 	for remaining := length; remaining > 0; remaining -= drainInterval {
-		r.world.CloseIdleUpstream()
+		r.world.CloseIdleUpstream(loopback.AllGateways)
 		if !r.pause(drainAfterClose) {
 			return
 		}
@@ -129,10 +200,11 @@
 	}
 }
 
-// closeIdleRepeatedly closes the idle connections to endpoints for a time, so that many attempts have to open new ones.
-func (r *runner) closeIdleRepeatedly(length time.Duration) {
+// closeIdleRepeatedly closes the idle connections of a gateway, or of all gateways, to endpoints for a time, so that
+// many attempts have to open new ones.
+func (r *runner) closeIdleRepeatedly(gateway int, length time.Duration) {
 	for remaining := length; remaining > 0; remaining -= closeIdleInterval {
-		r.world.CloseIdleUpstream()
+		r.world.CloseIdleUpstream(gateway)
 		if !r.pause(closeIdleInterval) {
 			return
 		}
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// Guards against kinds of fault that a short soak leaves out: 20 consecutive seeds cover all kinds from any first seed.
+// Guards against kinds of fault that a short soak leaves out: 21 consecutive seeds cover all kinds from any first seed.
 func TestFewConsecutiveSeedsCoverAllKinds(t *testing.T) {
-	const seeds = 20
+	const seeds = 21
 	for first := range uint64(100) {
 		covered := map[Kind]bool{}
 		for seed := first; seed < first+seeds; seed++ {
