--- a/internal/emulator/loopback/list_faults.go
+++ b/internal/emulator/loopback/list_faults.go
@@ -121,6 +121,7 @@
 		send(line[:fault.position])
 		written = written && w.agent.world.sleep(fault.stall)
 		send(line[fault.position:])
+		written = written && fault.stall < longListStall // the gateway has ended a call that was silent for so long
 	case listFaultGarbage:
 		send(append(slices.Clone(line), listGarbage...))
 	case listFaultCorrupt:
--- a/internal/emulator/loopback/watch.go
+++ b/internal/emulator/loopback/watch.go
@@ -180,18 +180,25 @@
 	}
 }
 
-// write writes a list. With polled discovery, the gateway counts as notified of the list from then on.
+// write writes a list. With polled discovery, the gateway counts as notified of a list that has been written completely
+// and without damage. It may use an endpoint that has become ready as soon as a part of the list has been written.
 func (w *watch) write(response http.ResponseWriter, list update) bool {
 	line, err := list.message.encode()
 	if err != nil {
 		w.agent.world.logger.Error("encoding a list failed", "err", err)
 		return false
 	}
-	world := w.agent.world
-	if world.scenario.Discovery.Polled {
+	world, polled := w.agent.world, w.agent.world.scenario.Discovery.Polled
+	if polled {
+		world.scheduler.Do(func() { world.gateways[w.agent.gateway].observeAvailable(list.list) })
+	}
+	if !w.writeLine(response, line, list.full) {
+		return false
+	}
+	if polled {
 		world.scheduler.Do(func() { world.markNotified(w.agent.gateway, list.list) })
 	}
-	return w.writeLine(response, line, list.full)
+	return true
 }
 
 // slowListParts is the number of parts in which a complete list is written while the fault SlowLists is active.
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -25,7 +25,6 @@
 	pauseInterval    = 600 * time.Millisecond  // time between the starts of two suspensions of a process
 	slowListDuration = 3900 * time.Millisecond // longer than the 3.5 s for which a discovery call may be silent
 	maxClockOffset   = time.Hour
-	affectedGateways = 3 // number of gateways that are affected by a fault of single gateways
 )
 
 // Options configures the runs of a soak.
@@ -108,7 +107,7 @@
 	if ctx.Err() != nil {
 		return result, ctx.Err()
 	}
-	result.Findings = r.findings(checker.Finish(last), summary, remaining, starvation.starved, driveErr)
+	result.Findings = r.findings(checker.Finish(last), summary, remaining, starvation.excess(plan.Gateways), driveErr)
 	return result, nil
 }
 
@@ -140,10 +139,17 @@
 	}
 }
 
+// affectedGateways returns the number of gateways that a fault of single gateways affects. It is larger than the number
+// of gateways that may starve without a finding.
+func (p *Plan) affectedGateways() int {
+	const minimum, divisor = 3, 5
+	return max(minimum, p.Gateways/divisor)
+}
+
 // pickGateways returns the gateways that a fault affects, selected at random by the seed and the start of the fault.
 func (r *runner) pickGateways(fault Fault) []int {
 	random := rand.New(rand.NewPCG(r.plan.Seed, uint64(fault.At)))
-	return random.Perm(r.plan.Gateways)[:affectedGateways]
+	return random.Perm(r.plan.Gateways)[:r.plan.affectedGateways()]
 }
 
 // inject carries out a fault that the scenario's fault schedule does not support.
--- a/internal/soak/starvation.go
+++ b/internal/soak/starvation.go
@@ -17,20 +17,19 @@
 // starvationDetector is an observer that detects gateways that starve.
 type starvationDetector struct {
 	gateways map[int]*rejectionSeries
-	starved  int // number of times that a gateway has starved
+	starved  map[int]bool // gateways that have starved
 }
 
 // rejectionSeries is the current series of rejections of a gateway.
 type rejectionSeries struct {
 	since    time.Duration // time of the first rejection
 	rejected int           // number of rejections
-	counted  bool          // the series has been counted in starvationDetector.starved
 }
 
 var _ emulator.Observer = (*starvationDetector)(nil)
 
 func newStarvationDetector() *starvationDetector {
-	return &starvationDetector{gateways: map[int]*rejectionSeries{}}
+	return &starvationDetector{gateways: map[int]*rejectionSeries{}, starved: map[int]bool{}}
 }
 
 // Observe implements emulator.Observer.
@@ -54,8 +53,21 @@
 		s.gateways[gateway] = series
 	}
 	series.rejected++
-	if !series.counted && series.rejected >= starvationRequests && at-series.since >= starvationTime {
-		series.counted = true
-		s.starved++
+	if series.rejected >= starvationRequests && at-series.since >= starvationTime {
+		s.starved[gateway] = true
 	}
 }
+
+// tolerableDivisor sets the part of the gateways, one in tolerableDivisor, that may starve, because customers of a few
+// gateways may use more than their quotas.
+//
+// Source: STANDING, "The whole fleet".
+const tolerableDivisor = 10
+
+// excess returns the number of gateways that have starved, or 0 if so many of a fleet may starve.
+func (s *starvationDetector) excess(gateways int) int {
+	if len(s.starved) <= gateways/tolerableDivisor {
+		return 0
+	}
+	return len(s.starved)
+}
