--- a/cmd/springfield/mutants_table.go
+++ b/cmd/springfield/mutants_table.go
@@ -58,6 +58,9 @@
 	if result.Finding != nil {
 		seeds, finding = fmt.Sprint(result.RunsUntilFinding), result.Finding.What
 	}
+	if result.VoidRuns > 0 {
+		finding += fmt.Sprintf(" (%d void)", result.VoidRuns)
+	}
 	elapsed := time.Duration(result.ElapsedSeconds * float64(time.Second)).Round(100 * time.Millisecond)
 	return []string{result.Mutant, result.Guard, result.Change, string(result.World), seeds, finding, elapsed.String()}
 }
--- a/cmd/springfield/soak_output.go
+++ b/cmd/springfield/soak_output.go
@@ -17,6 +17,7 @@
 	Findings       []findingRecord `json:"findings"`
 	Requests       int64           `json:"requests"`
 	Attempts       int64           `json:"attempts"`
+	Void           bool            `json:"void,omitempty"` // the findings are invalid because the machine was too busy
 	ElapsedSeconds float64         `json:"elapsed_seconds"`
 }
 
--- a/cmd/springfield/soak_sockets.go
+++ b/cmd/springfield/soak_sockets.go
@@ -8,6 +8,7 @@
 	"log/slog"
 	"os"
 	"strings"
+	"time"
 
 	"springfield/internal/soak"
 )
@@ -47,6 +48,9 @@
 	if err == nil {
 		err = findingsError(len(resultsWithFindings), report.Runs)
 	}
+	if err == nil && report.Void() > 0 {
+		err = fmt.Errorf("%s of %d void, because the machine was too busy", plural(report.Void(), "run"), report.Runs)
+	}
 	return err
 }
 
@@ -71,7 +75,7 @@
 			return // a run that ended while the soak was stopping
 		}
 		report.Add(result)
-		if len(result.Findings) > 0 {
+		if len(result.Findings) > 0 && !result.Void() {
 			resultsWithFindings = append(resultsWithFindings, result)
 			if c.UntilFinding {
 				defer cancel(errFirstFinding)
@@ -132,14 +136,19 @@
 	plan := &result.Plan
 	if c.JSON {
 		record := newSoakRecord(plan.Name(), plan.Seed, result.Findings, result.Requests, result.Attempts, result.Elapsed)
+		record.Void = result.Void()
 		return record.write(w)
 	}
 	kinds := make([]string, 0, len(plan.Faults))
 	for _, fault := range plan.Faults {
 		kinds = append(kinds, string(fault.Kind))
 	}
-	if _, err := fmt.Fprintf(w, "seed %s: %d gateways, %s: %d requests, %d findings\n", plan.Name(), plan.Gateways,
-		strings.Join(kinds, " + "), result.Requests, len(result.Findings)); err != nil {
+	validity := ""
+	if result.Void() {
+		validity = fmt.Sprintf(" (void: the machine was too busy for %v)", result.Stall.Round(time.Millisecond))
+	}
+	if _, err := fmt.Fprintf(w, "seed %s: %d gateways, %s: %d requests, %d findings%s\n", plan.Name(), plan.Gateways,
+		strings.Join(kinds, " + "), result.Requests, len(result.Findings), validity); err != nil {
 		return err
 	}
 	return writeFindings(w, result.Findings, c.repeatSocketsCommand(plan))
--- a/internal/mutation/runner.go
+++ b/internal/mutation/runner.go
@@ -20,6 +20,7 @@
 type Run struct {
 	Seed     uint64
 	Findings []Finding
+	Void     bool // the findings are invalid because the machine was too busy
 }
 
 // SoakFunc soaks a program with a range of seeds. It calls done after each run, never concurrently, and ends its runs
@@ -142,7 +143,10 @@
 // record adds a finished run.
 func (r *Result) record(run Run) {
 	r.Runs++
-	if len(run.Findings) == 0 {
+	if run.Void {
+		r.VoidRuns++
+	}
+	if run.Void || len(run.Findings) == 0 {
 		return
 	}
 	r.RunsWithFinding++
--- a/internal/mutation/sockets.go
+++ b/internal/mutation/sockets.go
@@ -47,7 +47,7 @@
 }
 
 func newRun(result *soak.Result) Run {
-	run := Run{Seed: result.Plan.Seed}
+	run := Run{Seed: result.Plan.Seed, Void: result.Void()}
 	for _, finding := range result.Findings {
 		run.Findings = append(run.Findings, Finding(finding))
 	}
--- a/internal/mutation/store.go
+++ b/internal/mutation/store.go
@@ -29,6 +29,7 @@
 	RunsUntilFinding int      `json:"runs_until_finding,omitempty"` // runs that finished, up to the first with a finding
 	RunsWithFinding  int      `json:"runs_with_findings,omitempty"` // more than one only in the control
 	Runs             int      `json:"runs"`                         // all runs that finished
+	VoidRuns         int      `json:"void_runs,omitempty"`          // runs with invalid findings, on a busy machine
 	RunsStarted      int      `json:"runs_started"`                 // Runs and those cancelled by the first finding
 	ElapsedSeconds   float64  `json:"elapsed_seconds"`              // time of the soak without the build
 }
--- a/internal/mutation/virtual.go
+++ b/internal/mutation/virtual.go
@@ -90,7 +90,7 @@
 		var run virtualRun
 		if decodeErr = decoder.Decode(&run); decodeErr == nil {
 			hasFindings = hasFindings || len(run.Findings) > 0
-			done(Run(run))
+			done(Run{Seed: run.Seed, Findings: run.Findings})
 		}
 	}
 	_, _ = io.Copy(io.Discard, output) // lets the program end; an error shows in its exit status
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -14,6 +14,7 @@
 	Attempts int64
 	pairs    map[Pair]int
 	findings map[string]*findingSummary
+	void     []Plan // plans of the runs whose findings are invalid
 }
 
 // findingSummary holds the first of the findings of one kind and the plans of the runs that had one.
@@ -35,6 +36,10 @@
 	for _, pair := range result.Plan.CoveredPairs() {
 		r.pairs[pair]++
 	}
+	if result.Void() {
+		r.void = append(r.void, result.Plan)
+		return
+	}
 	for _, finding := range result.Findings {
 		found := r.findings[finding.What]
 		if found == nil {
@@ -47,8 +52,11 @@
 	}
 }
 
-// Clean reports whether no run had a finding.
-func (r *Report) Clean() bool { return len(r.findings) == 0 }
+// Clean reports whether no run had a finding, valid or not.
+func (r *Report) Clean() bool { return len(r.findings) == 0 && len(r.void) == 0 }
+
+// Void returns the number of runs whose findings are invalid.
+func (r *Report) Void() int { return len(r.void) }
 
 // Write writes the report: the number of runs, how often each pair of kinds occurred in a run, and each finding with
 // its seeds.
@@ -74,6 +82,11 @@
 			return err
 		}
 	}
+	if len(r.void) > 0 {
+		slices.SortFunc(r.void, comparePlans)
+		_, err := fmt.Fprintf(w, "void, because the machine was too busy: seeds %v\n", planNames(r.void))
+		return err
+	}
 	if r.Clean() {
 		_, err := fmt.Fprintln(w, "nothing was found")
 		return err
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -45,6 +45,7 @@
 	Requests int64
 	Attempts int64
 	Elapsed  time.Duration
+	Stall    time.Duration // longest time for which this process did not get a processor; see Void
 }
 
 // Finding is a broken rule or another failure of a gateway.
@@ -67,9 +68,11 @@
 	ctx           context.Context // canceled when the load ends
 }
 
-// Run carries out a plan. It returns an error if the run could not be carried out; failures of gateways are findings.
-func Run(ctx context.Context, plan Plan, options Options) (Result, error) {
+// runOnce carries out a plan once.
+func runOnce(ctx context.Context, plan Plan, options Options) (Result, error) {
 	started := time.Now()
+	stalls := startStallDetector()
+	defer stalls.end()
 	scenario := plan.scenario()
 	checker := invariant.NewChecker(&scenario, invariant.WithSlack(invariant.SocketSlack),
 		invariant.WithTransit(plan.transit()))
@@ -107,6 +110,7 @@
 	if ctx.Err() != nil {
 		return result, ctx.Err()
 	}
+	result.Stall = stalls.end()
 	result.Findings = r.findings(checker.Finish(last), summary, remaining, starvation.excess(plan.Gateways), driveErr)
 	return result, nil
 }
