--- a/internal/virtualsoak/monitor.go
+++ b/internal/virtualsoak/monitor.go
@@ -64,6 +64,7 @@
 			requests:    map[policy.RequestID]*openRequest{},
 			endpoints:   &endpointTable{warmUpDuration: config.WarmUpDuration},
 			retryBudget: newRetryBudget(),
+			starvation:  newStarvationDetector(),
 		}
 		m.decider = newDecider(config, m, groundTruth)
 		return m
