--- a/internal/virtualsoak/starvation.go
+++ b/internal/virtualsoak/starvation.go
@@ -84,13 +84,22 @@
 	return metered && onlyRate && shareCovers && !recentlyOver
 }
 
-// hasIdleEndpoint reports whether the gateway knows a warm, idle endpoint that has not failed.
+// hasIdleEndpoint reports whether the gateway knows a warm, idle endpoint that it cannot have ejected: one that has not
+// failed, or any of the idle ones if they are more than may be ejected.
 func (m *monitor) hasIdleEndpoint() bool {
+	ready, idle := 0, 0
 	for _, entry := range m.endpoints.entries {
-		if entry.State == policy.StateReady && !entry.ejected && !entry.maybeEjected &&
-			m.endpoints.isWarm(m.now, entry) && m.groundTruth.Backlog(entry.ID, 0) == 0 {
+		if entry.State != policy.StateReady {
+			continue
+		}
+		ready++
+		if !m.endpoints.isWarm(m.now, entry) || m.groundTruth.Backlog(entry.ID, 0) > 0 {
+			continue
+		}
+		idle++
+		if !entry.ejected && !entry.maybeEjected {
 			return true
 		}
 	}
-	return false
+	return float64(idle) > maxEjectedShare*float64(ready)
 }
