--- a/internal/virtualsoak/starvation.go
+++ b/internal/virtualsoak/starvation.go
@@ -69,8 +69,8 @@
 
 // certainlyWithinQuota reports whether the quota cannot be the reason of a rejection: the plan has no other quota, the
 // meter can show the customer's usage, the customer has had units left over all gateways for quotaMemory, and an even
-// share of its burst at this gateway covers the request. A gateway may reject other requests, because it has to estimate
-// what the other gateways have forwarded.
+// share of its burst at this gateway covers the request. A gateway may reject other requests, because it has to
+// estimate what the other gateways have forwarded.
 func (m *monitor) certainlyWithinQuota(r *openRequest) bool {
 	plan := &m.config.Plans[r.Plan]
 	metered := plan.QuotaRate*m.config.MeterPeriod.Seconds() >= max(1, m.config.MaxRequestUnits)
