--- a/internal/soak/stall.go
+++ b/internal/soak/stall.go
@@ -24,8 +24,8 @@
 )
 
 // Run carries out a plan, and repeats it if the machine was too busy for valid findings. It returns the result of the
-// last try, which may be void. It returns an error if a run could not be carried out. Failures of gateways are findings.
-// Each try has a directory of its own in that of the options.
+// last try, which may be void. It returns an error if a run could not be carried out, whereas failures of gateways are
+// findings. Each try has a directory of its own in that of the options.
 func Run(ctx context.Context, plan Plan, options Options) (Result, error) {
 	directory := options.Directory
 	for try := 1; ; try++ {
