--- a/internal/frontend/forward.go
+++ b/internal/frontend/forward.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"cmp"
+	"context"
 	"io"
 	"net/http"
 )
@@ -40,5 +41,23 @@
 		request.Body = io.NopCloser(bytes.NewReader(body))
 		request.ContentLength = int64(len(body))
 	}
-	return request.WithContext(r.Context()) // the context ends when the client disconnects
+	return request.WithContext(clientContext{Context: r.Context(), conn: connectionOf(r)})
+}
+
+// clientContext is the context of a client's request. Its error also reports a disconnect of the client that net/http
+// has not noticed yet, because the process was suspended or had no processor time. Done does not.
+type clientContext struct {
+	context.Context
+	conn *clientConn // nil if no limitedListener accepted the connection
+}
+
+// Err implements context.Context.
+func (c clientContext) Err() error {
+	if err := c.Context.Err(); err != nil {
+		return err
+	}
+	if c.conn != nil && c.conn.closedByClient() {
+		return context.Canceled
+	}
+	return nil
 }
