--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -19,7 +19,7 @@
 		server := testkit.NewServer(t, testkit.Reply(testkit.ResponseOK, true))
 		conn, client := acceptOne(t, newTestListener(t))
 		if disconnected {
-			if err := client.Conn.Close(); err != nil {
+			if err := client.Close(); err != nil {
 				t.Fatal(err)
 			}
 			awaitDisconnect(t, conn)
