--- a/internal/emulator/loopback/aimed_faults.go
+++ b/internal/emulator/loopback/aimed_faults.go
@@ -3,7 +3,6 @@
 import (
 	"math"
 	"net"
-	"net/http"
 	"sync"
 	"time"
 
@@ -129,7 +128,7 @@
 		r.arrival.AbandonAt = 0
 	}
 	if w.attemptRandom.Float64() < w.aimed.variedShare {
-		r.transmission = drawTransmission(w.attemptRandom, r.message.method == http.MethodPost)
+		r.transmission = drawTransmission(w.attemptRandom)
 	}
 	if w.attemptRandom.Float64() < w.aimed.leaveShare {
 		r.leavesOnFailure = true
--- a/internal/emulator/loopback/client_bytes.go
+++ b/internal/emulator/loopback/client_bytes.go
@@ -11,14 +11,13 @@
 	"time"
 )
 
-// transmission is the form in which a client sends a request. Every form is one that HTTP allows. The zero value is the
-// usual form: one write, a Content-Length and plain header lines.
+// transmission is the form in which a client sends a request. Each form is one that the protocol of gateways allows,
+// which requires a Content-Length. The zero value is the usual form: one write and plain header lines.
 type transmission struct {
 	pauses     []time.Duration // pauses between the pieces of the request, which are of about the same length
 	lowerCase  bool            // header names are in lower case
 	padded     bool            // header values are surrounded by spaces and tabs
 	reversed   bool            // header lines are in the reverse order
-	chunked    bool            // the body is sent in chunks
 	extraLines bool            // the head has header lines that mean nothing to gateways
 }
 
@@ -28,24 +27,21 @@
 	// maxPiecePause is the longest pause between two pieces. All pauses together are far shorter than the time that
 	// gateways allow for a head.
 	maxPiecePause = 30 * time.Millisecond
-
-	chunkBytes = 5 // length of the chunks of a body
 )
 
 // VaryRequests makes clients send a share of their requests in unusual forms for a time: in pieces with pauses, and
-// with heads and bodies in other forms that HTTP allows.
+// with heads in other forms that HTTP allows.
 func (w *World) VaryRequests(share float64, length time.Duration) {
 	w.setForTime(&w.aimed.variedShare, share, length)
 }
 
-// drawTransmission draws the form of a request. Only a request with a body can be sent in chunks.
-func drawTransmission(random *rand.Rand, hasBody bool) transmission {
+// drawTransmission draws the form of a request.
+func drawTransmission(random *rand.Rand) transmission {
 	draw := func() bool { return random.IntN(2) == 0 }
 	drawn := transmission{
 		lowerCase:  draw(),
 		padded:     draw(),
 		reversed:   draw(),
-		chunked:    draw() && hasBody,
 		extraLines: draw(),
 	}
 	for range random.IntN(maxPieces) {
@@ -82,12 +78,7 @@
 func (t *transmission) encode(m *message, wait time.Duration) []byte {
 	lines := append([]string{"Host: origin.svc"}, m.header...)
 	lines = append(lines, fmt.Sprintf("Req-Deadline: %.3f", wait.Seconds()))
-	body := m.body
-	switch {
-	case t.chunked:
-		lines = append(lines, "Transfer-Encoding: chunked")
-		body = encodeChunks(body)
-	case m.method == http.MethodPost:
+	if m.method == http.MethodPost {
 		lines = append(lines, fmt.Sprintf("Content-Length: %d", len(m.body)))
 	}
 	if t.extraLines {
@@ -101,7 +92,7 @@
 	for _, line := range lines {
 		text.WriteString(t.formatLine(line) + "\r\n")
 	}
-	text.WriteString("\r\n" + body)
+	text.WriteString("\r\n" + m.body)
 	return text.Bytes()
 }
 
@@ -116,12 +107,3 @@
 	}
 	return name + ":" + value
 }
-
-// encodeChunks returns a body in the chunked transfer coding.
-func encodeChunks(body string) string {
-	var text strings.Builder
-	for chunk := range slices.Chunk([]byte(body), chunkBytes) {
-		fmt.Fprintf(&text, "%x\r\n%s\r\n", len(chunk), chunk)
-	}
-	return text.String() + "0\r\n\r\n"
-}
