--- a/internal/emulator/loopback/aimed_faults.go
+++ b/internal/emulator/loopback/aimed_faults.go
@@ -213,3 +213,18 @@
 		_ = d.conn.SetReadDeadline(time.Unix(1, 0)) // an error means that the connection has ended
 	}
 }
+
+// LeaveDuringPause suspends the process of a gateway for a time, during which the clients that wait for it disconnect.
+// When the process goes on, dials that have been established meanwhile and the disconnects are new to it at once.
+func (w *World) LeaveDuringPause(index int, length time.Duration) {
+	w.PauseGateway(index, length)
+	w.scheduler.Do(func() {
+		w.scheduler.After(minLeaveDelay, func() {
+			for _, r := range w.requests {
+				if r.arrival.Gateway == index {
+					r.departure.leave() // without an effect on a request that has its outcome
+				}
+			}
+		})
+	})
+}
--- a/internal/soak/aimed_faults.go
+++ b/internal/soak/aimed_faults.go
@@ -24,6 +24,10 @@
 	leaveDialTimeout  = 600 * time.Millisecond
 	leaveShare        = 0.5 // share of the clients that leave early
 
+	pausedConnectDelay = 200 * time.Millisecond
+	leavePause         = 350 * time.Millisecond // longer than the delay of a connect and the grace after a disconnect
+	leavePauseInterval = 900 * time.Millisecond // time between two pauses
+
 	shortDeadlineConnectDelay = 60 * time.Millisecond
 	hurriedShare              = 0.5 // share of the requests that have little time left
 
@@ -57,7 +61,7 @@
 		case DrainDuringDial:
 			scenario.Endpoints.DrainGrace = emulator.Duration(shortDrainGrace)
 			scenario.Network.DialTimeout = emulator.Duration(drainDialTimeout)
-		case LeavingClients:
+		case LeavingClients, LeaveDuringPause:
 			scenario.Network.DialTimeout = max(scenario.Network.DialTimeout, emulator.Duration(leaveDialTimeout))
 		case RestartSurge:
 			scenario.Clients.BurstAt = emulator.Duration(fault.At)
@@ -155,6 +159,8 @@
 		r.world.RejectAttempts(rejectedShare, fault.Length)
 		r.world.DelayConnects(leaveConnectDelay, fault.Length)
 		r.closeIdleRepeatedly(loopback.AllGateways, fault.Length)
+	case LeaveDuringPause:
+		r.leaveDuringPauses(fault)
 	case RestartSurge:
 		r.world.RestartEndpoints(surgeDowntime)
 	case FailAfterExecution:
@@ -184,6 +190,23 @@
 	return true
 }
 
+// leaveDuringPauses suspends gateways repeatedly while dials are pending, and lets their clients disconnect meanwhile.
+func (r *runner) leaveDuringPauses(fault Fault) {
+	r.world.DelayConnects(pausedConnectDelay, fault.Length)
+	for remaining := fault.Length; remaining > 0; remaining -= leavePauseInterval {
+		r.world.CloseIdleUpstream(loopback.AllGateways)
+		if !r.pause(pausedConnectDelay / 2) {
+			return
+		}
+		for _, gateway := range r.pickGateways(fault) {
+			r.world.LeaveDuringPause(gateway, leavePause)
+		}
+		if !r.pause(leavePauseInterval - pausedConnectDelay/2) {
+			return
+		}
+	}
+}
+
 // drainDuringDials drains endpoints one after another. Connects are delayed and idle connections are closed before each
 // drain, so that dials to the endpoint are pending when the gateways are notified.
 func (r *runner) drainDuringDials(length time.Duration) {
--- a/internal/soak/findings.go
+++ b/internal/soak/findings.go
@@ -21,7 +21,7 @@
 	Kind(emulator.FaultPartition), Kind(emulator.FaultKillGateways), Kind(emulator.FaultResets),
 	Kind(emulator.FaultSpoiltAnswers), Kind(emulator.FaultSilentEndpoints), Kind(emulator.FaultSlowEndpoints),
 	PauseGateways, IdleFlood, LateConnects, SpoiltBytes, DrainDuringDial, LeavingClients, RestartSurge,
-	FailAfterExecution, ShortDeadlines, EvictedRequests, DiscoveryBytes,
+	FailAfterExecution, ShortDeadlines, EvictedRequests, DiscoveryBytes, LeaveDuringPause,
 }
 
 // findings returns the failures of a run that the oracles have detected.
--- a/internal/soak/kind.go
+++ b/internal/soak/kind.go
@@ -30,6 +30,7 @@
 const (
 	DrainDuringDial    Kind = "drain_during_dial"    // endpoints drain while dials to them are pending
 	LeavingClients     Kind = "leaving_clients"      // clients disconnect in a dial, between attempts, or while waiting
+	LeaveDuringPause   Kind = "leave_during_pause"   // clients disconnect while their gateway is suspended in dials
 	RestartSurge       Kind = "restart_surge"        // all endpoints restart at once while the load doubles
 	FailAfterExecution Kind = "fail_after_execution" // executed attempts fail, some at the end of their key's lifetime
 	ShortDeadlines     Kind = "short_deadlines"      // requests expire during a dial or before a retry
@@ -56,7 +57,7 @@
 		SlowLists, ClockOffset, IdleFlood, StalledClients, PipeliningCrowd, LateConnects, SpoiltBytes,
 		DrainDuringDial, LeavingClients, RestartSurge, FailAfterExecution, ShortDeadlines,
 		EvictedRequests, RequestsAtShutdown, DiscoveryBytes, ClientBytes,
-		ConfigReads)
+		ConfigReads, LeaveDuringPause)
 }
 
 // isScheduled reports whether the scenario's fault schedule carries out faults of the kind.
--- a/internal/soak/transit.go
+++ b/internal/soak/transit.go
@@ -17,6 +17,8 @@
 		switch fault.Kind {
 		case PauseGateways:
 			longest += pauseLength
+		case LeaveDuringPause:
+			longest += leavePause
 		case FailAccept:
 			longest += fault.Length / failedCallsDivisor
 		case IdleFlood, PipeliningCrowd:
