--- a/internal/emulator/loopback/aimed_faults.go
+++ b/internal/emulator/loopback/aimed_faults.go
@@ -132,7 +132,18 @@
 	}
 	if w.attemptRandom.Float64() < w.aimed.leaveShare {
 		r.leavesOnFailure = true
-		w.scheduler.After(w.drawDuration(minLeaveDelay, maxLeaveDelay), r.departure.leave)
+		w.scheduler.After(w.drawDuration(minLeaveDelay, maxLeaveDelay), func() { w.leaveEarly(r) })
+	}
+}
+
+// leaveMargin is the least time before its deadline at which a client disconnects.
+const leaveMargin = 100 * time.Millisecond
+
+// leaveEarly makes the client of a request disconnect, unless its deadline is near or has passed. The client is then
+// entitled to an answer, which may come after the deadline.
+func (w *World) leaveEarly(r *request) {
+	if w.scheduler.Now()+leaveMargin < r.arrival.Deadline {
+		r.departure.leave()
 	}
 }
 
@@ -222,7 +233,7 @@
 		w.scheduler.After(minLeaveDelay, func() {
 			for _, r := range w.requests {
 				if r.arrival.Gateway == index {
-					r.departure.leave() // without an effect on a request that has its outcome
+					w.leaveEarly(r) // without an effect on a request that has its outcome
 				}
 			}
 		})
--- a/internal/emulator/loopback/aimed_faults_test.go
+++ b/internal/emulator/loopback/aimed_faults_test.go
@@ -6,6 +6,8 @@
 	"os"
 	"testing"
 	"time"
+
+	"springfield/internal/emulator/model"
 )
 
 // A client that is asked to leave must stop waiting, also if it is asked before it waits. A later request on the same
@@ -67,3 +69,16 @@
 		t.Errorf("%d starts of endpoints, want %d", got, 2*s.Endpoints.Count)
 	}
 }
+
+// A client must not disconnect at or after its deadline, when it only waits for an answer that it is entitled to.
+func TestClientsDoNotLeaveAfterTheirDeadlines(t *testing.T) {
+	w := newWorld(t.Context(), Options{Scenario: newScenario(time.Second)})
+	defer w.cancel()
+	for wait, want := range map[time.Duration]bool{time.Hour: true, 0: false, -time.Second: false} {
+		r := &request{arrival: model.Arrival{Deadline: w.scheduler.Now() + wait}}
+		w.leaveEarly(r)
+		if r.departure.hasLeft() != want {
+			t.Errorf("with %v until the deadline the client left: %v, want %v", wait, !want, want)
+		}
+	}
+}
--- a/internal/emulator/loopback/attempt.go
+++ b/internal/emulator/loopback/attempt.go
@@ -171,7 +171,7 @@
 	a.conn.current = nil
 	a.request.inFlight = deleteItem(a.request.inFlight, a)
 	if a.request.leavesOnFailure && (status == policy.StatusRejected || status == policy.StatusReset) {
-		a.request.departure.leave()
+		a.conn.endpoint.world.leaveEarly(a.request)
 	}
 	a.conn.endpoint.world.observe(emulator.AttemptEnded{
 		Request:  a.request.arrival.Request,
