--- a/internal/emulator/loopback/aimed_faults.go
+++ b/internal/emulator/loopback/aimed_faults.go
@@ -3,7 +3,6 @@
 import (
 	"math"
 	"net"
-	"net/http"
 	"sync"
 	"time"
 
@@ -129,11 +128,22 @@
 		r.arrival.AbandonAt = 0
 	}
 	if w.attemptRandom.Float64() < w.aimed.variedShare {
-		r.transmission = drawTransmission(w.attemptRandom, r.message.method == http.MethodPost)
+		r.transmission = drawTransmission(w.attemptRandom)
 	}
 	if w.attemptRandom.Float64() < w.aimed.leaveShare {
 		r.leavesOnFailure = true
-		w.scheduler.After(w.drawDuration(minLeaveDelay, maxLeaveDelay), r.departure.leave)
+		w.scheduler.After(w.drawDuration(minLeaveDelay, maxLeaveDelay), func() { w.leaveEarly(r) })
+	}
+}
+
+// leaveMargin is the least time before its deadline at which a client disconnects.
+const leaveMargin = 100 * time.Millisecond
+
+// leaveEarly makes the client of a request disconnect, unless its deadline is near or has passed. The client is then
+// entitled to an answer, which may come after the deadline.
+func (w *World) leaveEarly(r *request) {
+	if w.scheduler.Now()+leaveMargin < r.arrival.Deadline {
+		r.departure.leave()
 	}
 }
 
@@ -214,3 +224,18 @@
 		_ = d.conn.SetReadDeadline(time.Unix(1, 0)) // an error means that the connection has ended
 	}
 }
+
+// LeaveDuringPause suspends the process of a gateway for a time, during which the clients that wait for it disconnect.
+// When the process goes on, dials that have been established meanwhile and the disconnects are new to it at once.
+func (w *World) LeaveDuringPause(index int, length time.Duration) {
+	w.PauseGateway(index, length)
+	w.scheduler.Do(func() {
+		w.scheduler.After(minLeaveDelay, func() {
+			for _, r := range w.requests {
+				if r.arrival.Gateway == index {
+					w.leaveEarly(r) // without an effect on a request that has its outcome
+				}
+			}
+		})
+	})
+}
