--- a/internal/emulator/loopback/watch.go
+++ b/internal/emulator/loopback/watch.go
@@ -197,21 +197,25 @@
 // slowListParts is the number of parts in which a complete list is written while the fault SlowLists is active.
 const slowListParts = 10
 
-// writeLine writes the line of a list, and damages it if DamageLists is active. While the fault SlowLists is active, it
-// writes a complete list in parts over slowListDuration.
+// writeLine writes the line of a list. While the fault SlowLists is active, it writes a complete list in parts over
+// slowListDuration. Other lines are damaged if DamageLists is active.
 func (w *watch) writeLine(response http.ResponseWriter, line []byte, full bool) bool {
 	world := w.agent.world
 	var spread time.Duration
 	var fault listFault
 	world.scheduler.Do(func() {
-		spread = world.slowListDuration
-		fault = world.drawListFault(world.attemptRandom, len(line))
+		if full {
+			spread = world.slowListDuration
+		}
+		if spread == 0 { // a gateway that starts without a list must get one in time
+			fault = world.drawListFault(world.attemptRandom, len(line))
+		}
 		w.damaged = w.damaged || fault.kind != listFaultNone
 	})
 	if fault.kind != listFaultNone {
 		return w.writeDamaged(response, line, fault)
 	}
-	if spread == 0 || !full {
+	if spread == 0 {
 		_, err := response.Write(line)
 		return err == nil
 	}
