--- a/internal/soak/aimed_faults.go
+++ b/internal/soak/aimed_faults.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/rand/v2"
+	"slices"
 	"time"
 
 	"springfield/internal/emulator"
@@ -24,9 +25,10 @@
 	leaveDialTimeout  = 600 * time.Millisecond
 	leaveShare        = 0.5 // share of the clients that leave early
 
-	pausedConnectDelay = 200 * time.Millisecond
-	leavePause         = 350 * time.Millisecond // longer than the delay of a connect and the grace after a disconnect
-	leavePauseInterval = 900 * time.Millisecond // time between two pauses
+	pausedConnectDelay = 150 * time.Millisecond
+	leavePause         = 250 * time.Millisecond // longer than the delay of a connect and the grace after a disconnect
+	leavePauseInterval = 500 * time.Millisecond // time between the pauses of two groups of gateways
+	leavePauseCount    = 3                      // number of groups
 
 	shortDeadlineConnectDelay = 60 * time.Millisecond
 	hurriedShare              = 0.5 // share of the requests that have little time left
@@ -190,15 +192,18 @@
 	return true
 }
 
-// leaveDuringPauses suspends gateways repeatedly while dials are pending, and lets their clients disconnect meanwhile.
+// leaveDuringPauses suspends groups of gateways one after another while dials are pending, and lets their clients
+// disconnect meanwhile. It suspends each gateway once: a request that arrives during a pause is read late, and a second
+// pause could delay its answer beyond the grace after its deadline.
 func (r *runner) leaveDuringPauses(fault Fault) {
+	gateways := r.faultRandom(fault, 0).Perm(r.plan.Gateways)
 	r.world.DelayConnects(pausedConnectDelay, fault.Length)
-	for remaining := fault.Length; remaining > 0; remaining -= leavePauseInterval {
+	for group := range slices.Chunk(gateways[:leavePauseCount*affectedGateways], affectedGateways) {
 		r.world.CloseIdleUpstream(loopback.AllGateways)
 		if !r.pause(pausedConnectDelay / 2) {
 			return
 		}
-		for _, gateway := range r.pickGateways(fault) {
+		for _, gateway := range group {
 			r.world.LeaveDuringPause(gateway, leavePause)
 		}
 		if !r.pause(leavePauseInterval - pausedConnectDelay/2) {
