--- a/policy/admission.go
+++ b/policy/admission.go
@@ -21,7 +21,8 @@
 		refuseReason = RefusedOverQuota
 	}
 	delay, possible := e.admissionDelay(now, r)
-	tooLong := !possible || delay > r.maxQueueDelay() || delay+e.expectedLatency(r.Units) > r.TimeLeft
+	late := delay+e.expectedLatency(r.Units) > r.TimeLeft && !e.latencyIsStale(now, r)
+	tooLong := !possible || delay > r.maxQueueDelay() || delay >= r.TimeLeft || late
 	if refuseReason == ReasonNone && tooLong {
 		refuseReason = RefusedHoldTooLong
 	}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -121,7 +121,8 @@
 // dispatch forwards a request to the eligible endpoint of the lowest cost. If no endpoint or gateway limit
 // has room for it, a first attempt is queued for a short time, and a retry is given up.
 func (e *Engine) dispatch(now time.Duration, r *request) {
-	cannotBeInTime := now+e.expectedLatency(r.Units) > r.arrivedAt+r.class.LatencyObjective
+	cannotBeInTime := now+e.expectedLatency(r.Units) > r.arrivedAt+r.class.LatencyObjective &&
+		!e.latencyIsStale(now, r)
 	if now >= r.deadline {
 		e.finish(r, RefusedExpired)
 		return
@@ -157,6 +158,7 @@
 		r.customer.recentUnits += r.Units
 	}
 	e.forwardedUnits += r.Units
+	e.lastForwardedAt = now
 	if ep.inFlight == 0 {
 		ep.lastResponseAt = now
 	}
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -35,6 +35,7 @@
 	inFlightUnits      float64       // units in flight at all endpoints together
 	pausedUntil        time.Duration // end of a pause in forwarding; set while gatewayLimit is below one unit
 	latencyPerUnit     float64       // seconds per unit, smoothed over all endpoints
+	lastForwardedAt    time.Duration // start of the latest attempt
 	retryTokens        float64       // retry budget; each retry takes one token
 	forwardRate        float64       // units per second forwarded to all endpoints, a slow moving average
 	forwardedUnits     float64       // units forwarded since the last pass of the bandwidth manager
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -32,6 +32,12 @@
 	return seconds(e.latencyPerUnit * units)
 }
 
+// latencyIsStale reports whether nothing is in flight and no attempt has started for the latency objective of
+// a request. No answer would then lower the expected latency, so it is no reason to reject the request.
+func (e *Engine) latencyIsStale(now time.Duration, r *request) bool {
+	return e.inFlight == 0 && now >= e.lastForwardedAt+r.class.LatencyObjective
+}
+
 // adjustLimits adjusts the concurrency limits after an attempt of the given latency. While answers are early
 // and at least half of its limit is used, an endpoint's limit rises by one request per round trip; a late
 // attempt lowers it by a factor (additive increase, multiplicative decrease).
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -134,6 +134,34 @@
 	}
 }
 
+// A gateway that rejects requests because answers were slow must forward again, since only another answer can show that
+// the endpoints have recovered.
+func TestGatewayForwardsAgainAfterSlowAnswers(t *testing.T) {
+	const answerTime = 700 * time.Millisecond
+	gateway := startTestGateway(testConfig(), 4)
+	id := RequestID(0)
+	for !gateway.engine.overloaded {
+		id++
+		if id > 100 {
+			t.Fatal("slow answers have not led to overload")
+		}
+		gateway.submit(id, idempotentClass, unknownPlan, 1)
+		if gateway.lastForwardedIs(id) {
+			gateway.advance(answerTime)
+			gateway.finishFirstAttempt(id, gateway.lastForwarded().endpoint, StatusOK, answerTime)
+		}
+	}
+	before := len(gateway.forwarded)
+	for range 40 {
+		id++
+		gateway.submit(id, idempotentClass, unknownPlan, 1)
+		gateway.advance(100 * time.Millisecond)
+	}
+	if len(gateway.forwarded) == before {
+		t.Errorf("no request was forwarded in 4s; %d were rejected", len(gateway.rejected))
+	}
+}
+
 // Concurrency limits keep latencies low even under overload, so that latencies alone do not show it. Requests that find
 // no endpoint with capacity must count as a sign of overload too.
 func TestLackOfCapacityCountsAsOverload(t *testing.T) {
