--- a/internal/soak/aimed_faults.go
+++ b/internal/soak/aimed_faults.go
@@ -197,8 +197,9 @@
 // pause could delay its answer beyond the grace after its deadline.
 func (r *runner) leaveDuringPauses(fault Fault) {
 	gateways := r.faultRandom(fault, 0).Perm(r.plan.Gateways)
+	groupSize := r.plan.affectedGateways()
 	r.world.DelayConnects(pausedConnectDelay, fault.Length)
-	for group := range slices.Chunk(gateways[:leavePauseCount*affectedGateways], affectedGateways) {
+	for group := range slices.Chunk(gateways[:leavePauseCount*groupSize], groupSize) {
 		r.world.CloseIdleUpstream(loopback.AllGateways)
 		if !r.pause(pausedConnectDelay / 2) {
 			return
