--- a/internal/virtualsoak/scenario_test.go
+++ b/internal/virtualsoak/scenario_test.go
@@ -15,7 +15,8 @@
 // constantFields lists the fields of a scenario that are not drawn.
 var constantFields = []string{"Description"}
 
-// valueSets holds the first two values that each field of a scenario has had. Entries of lists share the field of the list.
+// valueSets holds the first two values that each field of a scenario has had. Entries of lists share the field of the
+// list.
 type valueSets map[string]map[string]bool
 
 // record adds the values of all fields within a value.
