--- a/internal/virtualsoak/run_test.go
+++ b/internal/virtualsoak/run_test.go
@@ -16,6 +16,7 @@
 
 // Guards against runs of a seed that differ, for example because of the order of a map.
 func TestSeedDeterminesItsRun(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(8) {
 		var results [2]Result
 		for i := range results {
@@ -37,6 +38,7 @@
 
 // Guards against oracles that miss a fault of a gateway.
 func TestPlantedFaultsAreFound(t *testing.T) {
+	t.Parallel()
 	tests := []struct {
 		name, want string
 		newDecider emulator.NewDecider
@@ -64,6 +66,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
+			t.Parallel()
 			const maxSeeds = 60
 			for seed := range uint64(maxSeeds) {
 				result, err := Run(t.Context(), seed, test.newDecider)
