--- a/internal/soak/transit.go
+++ b/internal/soak/transit.go
@@ -1,10 +1,9 @@
 package soak
 
-import (
-	"time"
+import "time"
 
-	"springfield/internal/emulator/invariant"
-)
+// usualTransit is the longest time that a request takes in a run without faults that delay it.
+const usualTransit = 300 * time.Millisecond
 
 // floodTransit is the longest time that a connection waits until the gateway has closed others and accepts it.
 const floodTransit = time.Second
@@ -12,7 +11,7 @@
 // transit returns the longest time that a request takes in the run from its client until its gateway has read it. The
 // gateway cannot know that time, so it cannot subtract it from the time that the client has left.
 func (p *Plan) transit() time.Duration {
-	longest := invariant.SocketTransit
+	longest := usualTransit
 	for _, fault := range p.Faults {
 		switch fault.Kind {
 		case PauseGateways:
