--- a/policy/admission.go
+++ b/policy/admission.go
@@ -49,9 +49,7 @@
 		if !c.inSet {
 			return 0, false
 		}
-		if missing := r.Units - c.ceilingBucket.tokens; missing > 0 {
-			delay = seconds(missing / (c.plan.CeilingRate / c.setSize))
-		}
+		delay = c.ceilingAdmissionDelay(r.Units)
 	}
 	if e.overloaded && c.plan.QuotaRate > 0 && c.avgUsage >= c.plan.QuotaRate {
 		pacingDelay := seconds(e.pacingDelaySeconds(c, r.Units))
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -118,8 +118,9 @@
 	e.endpointList = kept
 }
 
-// dispatch forwards a request to the eligible endpoint of the lowest cost. If no endpoint or gateway limit
-// has room for it, a first attempt is queued for a short time, and a retry is given up.
+// dispatch forwards a request to the eligible endpoint of the lowest cost. If the ceiling does not
+// cover it any more, or no endpoint or gateway limit has room for it, a first attempt is queued for a short
+// time, and a retry is given up.
 func (e *Engine) dispatch(now time.Duration, r *request) {
 	cannotBeInTime := now+e.expectedLatency(r.Units) > r.arrivedAt+r.class.LatencyObjective
 	if now >= r.deadline {
@@ -130,6 +131,10 @@
 		e.finish(r, RefusedTooLate)
 		return
 	}
+	if delay := e.ceilingSendDelay(now, r); delay > 0 {
+		e.waitOrFinish(now, r, delay, RefusedHoldTooLong)
+		return
+	}
 	ep := e.chooseEndpoint(now, r)
 	limited := now < e.pausedUntil || e.inFlightUnits > 0 && e.inFlightUnits+r.Units > e.gatewayLimit
 	if ep != nil && !limited {
@@ -139,16 +144,22 @@
 	// Concurrency limits keep latencies low under overload as well, so a lack of capacity also counts as a sign
 	// of overload.
 	e.recordLatencyRatio(maxLatencyRatio)
-	delay := r.class.LatencyObjective / queueRetriesPerObjective
+	e.waitOrFinish(now, r, r.class.LatencyObjective/queueRetriesPerObjective, RefusedNoCapacity)
+}
+
+// waitOrFinish queues a first attempt if it can be sent in time after the delay. Otherwise the request gets
+// its final answer at once.
+func (e *Engine) waitOrFinish(now time.Duration, r *request, delay time.Duration, reason Reason) {
 	if r.attempts == 0 && now+delay < min(r.deadline, r.arrivedAt+r.maxQueueDelay()) {
 		e.enqueue(r, delay)
 		return
 	}
-	e.finish(r, RefusedNoCapacity)
+	e.finish(r, reason)
 }
 
 // forward starts an attempt at an endpoint and counts its units in flight.
 func (e *Engine) forward(now time.Duration, r *request, ep *endpoint) {
+	r.takeCeiling()
 	ep.warmUpBucket.tokens -= r.Units // not used once the endpoint is warm
 	if !r.forwarded {
 		r.forwarded = true
--- a/policy/customer.go
+++ b/policy/customer.go
@@ -22,7 +22,8 @@
 	meteredBucket      tokenBucket   // quota left over all gateways, drained by metered usage
 	gatewayBucket      tokenBucket   // this gateway's share of the quota by usage, drained by its units
 	estimatedBucket    tokenBucket   // quota left over all gateways, estimated from units admitted here
-	ceilingBucket      tokenBucket   // this gateway's even share of the ceiling, if the plan has one
+	ceilingBucket      tokenBucket   // this gateway's even share of the ceiling, drained by the requests sent
+	reservedUnits      float64       // units of admitted requests that ceilingBucket still holds
 	lastEstimatedUnits float64       // units of the last admitted request, scaled from this gateway to all
 	rejectProbability  float64       // probability that a request is rejected while meteredBucket is empty
 
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -52,6 +52,8 @@
 	arrivedAt       time.Duration
 	deadline        time.Duration // time by which the final answer is due
 	queued          bool          // delayed by pacing or a ceiling, or waiting for an endpoint with capacity
+	ceilingReserved bool          // its units are reserved in the customer's ceiling
+	ceilingAttempt  int           // index of the attempt that took the units of the ceiling
 	forwarded       bool          // counted in the customer's usage
 	attempts        int           // number of attempts so far
 	currentEndpoint *endpoint     // endpoint of the attempt in flight; nil if none is
@@ -139,6 +141,7 @@
 	}
 	if current {
 		r.endAttempt(result.Status)
+		e.returnCeiling(now, r, result.Status)
 	}
 	switch {
 	case result.RequestDone:
@@ -214,6 +217,7 @@
 		r.queued = false
 		r.customer.queuedRequests--
 	}
+	r.releaseCeiling()
 	if r.forwarded {
 		r.customer.openRequests--
 	}
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -52,10 +52,11 @@
 // of the smallest request. Each gateway then receives only one or two requests of the customer a minute.
 func (c *customer) sparselySpread() bool { return c.plan.Burst/c.setSize < minSplitUnits }
 
-// takeTokens takes the units of an admitted request from the customer's buckets.
+// takeTokens takes the units of an admitted request from the customer's quota buckets, and reserves them in
+// its ceiling.
 func (e *Engine) takeTokens(r *request) {
 	c := r.customer
-	c.ceilingBucket.tokens -= r.Units
+	r.reserveCeiling()
 	c.lastEstimatedUnits = r.Units / e.usageShare(c)
 	c.gatewayBucket.tokens -= r.Units
 	c.estimatedBucket.tokens -= c.lastEstimatedUnits / e.overcommitFactor(c)
@@ -81,7 +82,7 @@
 		estimatedRate += unused / e.usageShare(c) * (1 - p.Burst/c.lastEstimatedUnits) * max(0, 1-p.OverQuotaCost)
 	}
 	c.estimatedBucket.refill(estimatedRate*elapsed, p.Burst)
-	c.ceilingBucket.refill(p.CeilingRate/c.setSize*elapsed, p.CeilingBurst/c.setSize)
+	c.ceilingBucket.refill(c.ceilingShareRate()*elapsed, c.ceilingCapacity())
 }
 
 // gatewayBurst is the capacity of gatewayBucket: this gateway's share of the burst, but at least one unit and
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -79,6 +79,9 @@
 	return zoneAllowed && cellAllowed
 }
 
+// neverReached reports whether an attempt with this outcome was certainly not received by its endpoint.
+func (s Status) neverReached() bool { return s.neverExecuted() && s != StatusRejected }
+
 // canReject reports whether a request may still be rejected. A rejection promises that nothing has been
 // executed; for an idempotent request this does not matter.
 func (r *request) canReject() bool {
