--- a/policy/ceiling_test.go
+++ b/policy/ceiling_test.go
@@ -114,3 +114,22 @@
 		t.Errorf("request 2 was forwarded with units that request 1 has used: %v", gateway.log)
 	}
 }
+
+// A customer that returns after its eviction has a full bucket. It must not be evicted while its bucket is refilled
+// after a request that was sent later than it arrived.
+func TestCustomerIsEvictedOnlyWithFullCeiling(t *testing.T) {
+	gateway := startCeilingTest()
+	gateway.engine.cfg.WarmUpDuration = time.Second // in which an idle customer may be evicted
+	gateway.advance(400 * time.Millisecond)
+	gateway.pause(200 * time.Millisecond)
+	gateway.submitUnits(1, testShare)
+	gateway.advance(230 * time.Millisecond)
+	gateway.finish(1, StatusOK, noUsage)
+	gateway.advanceTo(62*time.Second + 510*time.Millisecond) // just after a pass of the bandwidth manager
+	gateway.submitUnits(2, testShare)
+	gateway.advance(time.Second)
+	if len(gateway.forwarded) != 2 {
+		t.Fatalf("request 2 was not forwarded: %v", gateway.log)
+	}
+	gateway.checkShare(t, 0, 1)
+}
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -52,12 +52,9 @@
 			periods := min(1, elapsed.Seconds()/max(e.cfg.MeterPeriod, bandwidthManagerPeriod).Seconds())
 			c.avgUsage -= usageSmoothing * c.avgUsage * periods
 		}
-		retention := e.cfg.WarmUpDuration
 		// An evicted customer may return with a full ceiling bucket, so the bucket must be full at its eviction.
-		if c.plan.CeilingRate > 0 {
-			retention = max(retention, seconds(c.plan.CeilingBurst/c.plan.CeilingRate))
-		}
-		idle := c.openRequests == 0 && c.queuedRequests == 0 && now-c.lastSeen > retention
+		ceilingFull := c.plan.CeilingRate <= 0 || c.ceilingBucket.tokens >= c.ceilingCapacity()
+		idle := c.openRequests == 0 && c.queuedRequests == 0 && ceilingFull && now-c.lastSeen > e.cfg.WarmUpDuration
 		if idle && c.avgUsage <= maxEvictedUsageShare*c.plan.QuotaRate {
 			delete(e.customers, c.id)
 			continue
