--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -52,6 +52,7 @@
 		e.actions.StartTimer(minEjection, Timer{Kind: TimerWatch})
 		return
 	}
+	e.updateRates(now)
 	if kind != UpdateDelta {
 		for _, ep := range e.endpointList {
 			ep.discovered = false // an endpoint that is absent from a complete list is removed
@@ -156,7 +157,6 @@
 		r.customer.openRequests++
 		r.customer.recentUnits += r.Units
 	}
-	e.forwardedUnits += r.Units
 	if ep.inFlight == 0 {
 		ep.lastResponseAt = now
 	}
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -104,9 +104,9 @@
 func TestReadyWeightFollowsEndpointList(t *testing.T) {
 	gateway := startTestGateway(testConfig(), 3)
 	engine := gateway.engine
-	engine.forwardRate = 10
+	engine.servedRate = 10
 	warmUpRate := func() float64 {
-		return engine.warmUpShare(0, &endpoint{Endpoint: Endpoint{Weight: 1}}) * engine.forwardRate
+		return engine.warmUpShare(0, &endpoint{Endpoint: Endpoint{Weight: 1}}) * engine.servedRate
 	}
 	for _, test := range []struct {
 		kind        UpdateKind
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -28,19 +28,22 @@
 	endpointList []*endpoint // listed endpoints in order of rank
 	readyWeight  float64     // total weight of the ready endpoints
 
-	latencyRatio       float64       // smoothed ratio of latency to latency objective
-	overloaded         bool          // latencyRatio shows overload, with hysteresis
-	gatewayLimit       float64       // limit on this gateway's units in flight at all endpoints together
-	inFlight           int           // attempts in flight at all endpoints together
-	inFlightUnits      float64       // units in flight at all endpoints together
-	pausedUntil        time.Duration // end of a pause in forwarding; set while gatewayLimit is below one unit
-	latencyPerUnit     float64       // seconds per unit, smoothed over all endpoints
-	retryTokens        float64       // retry budget; each retry takes one token
-	forwardRate        float64       // units per second forwarded to all endpoints, a slow moving average
-	forwardedUnits     float64       // units forwarded since the last pass of the bandwidth manager
-	admittedUnits      float64       // units of all requests admitted since the start
-	demandRate         float64       // units per second admitted, a fast moving average
-	admittedAtLastPass float64       // admittedUnits at the last pass of the bandwidth manager
+	latencyRatio   float64       // smoothed ratio of latency to latency objective
+	overloaded     bool          // latencyRatio shows overload, with hysteresis
+	gatewayLimit   float64       // limit on this gateway's units in flight at all endpoints together
+	inFlight       int           // attempts in flight at all endpoints together
+	inFlightUnits  float64       // units in flight at all endpoints together
+	pausedUntil    time.Duration // end of a pause in forwarding; set while gatewayLimit is below one unit
+	latencyPerUnit float64       // seconds per unit, smoothed over all endpoints
+	retryTokens    float64       // retry budget; each retry takes one token
+
+	servedRate           float64       // units per second that endpoints served, a slow moving average
+	readyWeightAverage   float64       // moving average of readyWeight over the same time as servedRate
+	servedUnits          float64       // units that endpoints served since the last update of the rates
+	demandRate           float64       // units per second admitted, a fast moving average
+	admittedUnits        float64       // units of all requests admitted since the start
+	admittedAtLastUpdate float64       // admittedUnits at the last update of the rates
+	ratesUpdatedAt       time.Duration // time of the last update of the rates
 }
 
 // request is the state of a request that has been submitted. It is kept until the request has its final
@@ -76,7 +79,7 @@
 
 // Start starts the bandwidth manager and, if they must be polled, the endpoint updates.
 func (e *Engine) Start(now time.Duration) {
-	e.startedAt, e.bandwidth.lastRun = now, now
+	e.startedAt, e.ratesUpdatedAt, e.bandwidth.lastRun = now, now, now
 	e.actions.StartTimer(bandwidthManagerPeriod, Timer{Kind: TimerBandwidthManager})
 	if e.cfg.PolledEndpoints {
 		e.actions.WatchEndpoints(true)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -25,6 +25,7 @@
 	}
 	switch status {
 	case StatusOK:
+		e.servedUnits += units
 		e.recordLatency(now, ep, result.Latency.Seconds()/units)
 		if r != nil {
 			ep.newestAnsweredSentAt = max(ep.newestAnsweredSentAt, r.sentAt)
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -42,7 +42,7 @@
 	m := &e.bandwidth
 	elapsed := now - m.lastRun
 	m.lastRun = now
-	e.updateRates(now, elapsed)
+	e.updateRates(now)
 	e.overuse.decay(elapsed)
 	m.totalUsage, m.totalQuota, m.anyActiveUnderQuota = 0, 0, false
 	kept := e.customerList[:0]
--- a/policy/recorded_decisions_test.go
+++ b/policy/recorded_decisions_test.go
@@ -12,12 +12,12 @@
 		{
 			name: "small fleet", seed: 1, gateways: 3, endpoints: 8, requestRate: 120,
 			configure: func(*Config) {},
-			wantHash:  "a9c1590a15ebc3f02ec02627243e185e1411f0c716c787e37fce166899107a30",
+			wantHash:  "cb3c22cd9d0e25713bf37fb836ac7250866f21f92e53fc78552ee934568ca18a",
 		},
 		{
 			name: "overloaded fleet", seed: 2, gateways: 2, endpoints: 4, requestRate: 160,
 			configure: func(cfg *Config) { cfg.MaxOpenRequests, cfg.MaxAttempts = 40, 3 },
-			wantHash:  "f695de80b45571b61b023f8b86f1e57de41c8986d63930f1b3f13cd5db1b8b08",
+			wantHash:  "7e0cc2b4eda4b062103a166e99ac64dc1fe39b3868e1540ee9b70d7fc9a06aa0",
 		},
 		{
 			name: "large fleet", seed: 3, gateways: 40, endpoints: 24, requestRate: 400,
@@ -26,7 +26,7 @@
 					cfg.Plans[i].Burst = 8
 				}
 			},
-			wantHash: "c2a15b577a08b4e3ad7f28e01c51907c12491182806afc73ca5377d56748bca8",
+			wantHash: "7a6b348ed935acd7ae13ea4e8b7f480f75432b34a4c2cc49e4eb218c8cce2e6a",
 		},
 		{
 			name: "costly overuse", seed: 4, gateways: 24, endpoints: 12, requestRate: 250,
@@ -35,7 +35,7 @@
 					cfg.Plans[i].QuotaRate, cfg.Plans[i].Burst, cfg.Plans[i].OverQuotaCost = 2, 5, 1.2
 				}
 			},
-			wantHash: "736ed17512f8a36eae505d4510ff5fdc834b52e7758a8b99189705d2bcb45bf0",
+			wantHash: "73c5b423806391f8db33f3ffd6d07571d442c7692754673638ea10774ea1c5c6",
 		},
 		{
 			name: "no meter, no cancellation, polled endpoints", seed: 5, gateways: 4, endpoints: 8, requestRate: 120,
@@ -43,7 +43,7 @@
 				cfg.MeterPeriod, cfg.MaxRequestUnits = 0, 0
 				cfg.CanCancel, cfg.SendRetryAfter, cfg.PolledEndpoints = false, false, true
 			},
-			wantHash: "b31ae45b801b6cf9e7cf49c327efe080305180af47d1477608ba26dbf80d6620",
+			wantHash: "2ebf6617fbcc1f0c7adb2d2142c3bfa57b15ad850410e29e14f5bcddaa3e8c0f",
 		},
 		{
 			name: "concurrency quotas and ceilings", seed: 6, gateways: 3, endpoints: 6, requestRate: 100,
@@ -52,12 +52,12 @@
 				cfg.Plans[1].QuotaRate, cfg.Plans[1].MaxConcurrent = 0, 6
 				cfg.Plans[2].CeilingRate, cfg.Plans[2].CeilingBurst = 6, 12
 			},
-			wantHash: "a2edc4c582d8e48fcc10d05f20c38482698b8c4007fe67ba5a02b193c609a672",
+			wantHash: "fc8e1ed675e8a4eeed131c562ea7304192bc0190509ec51a200df6ba7424b929",
 		},
 		{
 			name: "greedy customers alone", seed: 7, gateways: 2, endpoints: 8, requestRate: 150, greedyOnly: true,
 			configure: func(*Config) {},
-			wantHash:  "ea183e03c750bbbaf3c120926caf07ce0fc3a441ba01d07eb089de35f95e644a",
+			wantHash:  "a241c4db528ea8cf78e3345fa498c768e61c189eb9f89179889ec629e7b1bdf2",
 		},
 	} {
 		t.Run(scenario.name, func(t *testing.T) {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,12 +1,15 @@
 package policy
 
-import "time"
+import (
+	"cmp"
+	"time"
+)
 
 const (
 	warmUpMargin       = 0.8  // share of the warm-up budget that is used
 	minInitialCapacity = 0.01 // lower limit for Config.WarmUpInitialCapacity
 
-	// minRateAveragingPasses is the averaging time of demandRate, and the least averaging time of forwardRate,
+	// minRateAveragingPasses is the averaging time of demandRate, and the least averaging time of servedRate,
 	// in passes of the bandwidth manager.
 	minRateAveragingPasses = 10
 
@@ -34,10 +37,12 @@
 }
 
 // warmUpShare is the part of a rate over all endpoints that an endpoint in slow start may receive: its share
-// by weight, times its present capacity and the load that it withstands, less a margin.
+// by weight, times its present capacity and the load that it withstands, less a margin. Endpoints that were
+// ready count in the total weight for as long as they do in servedRate, since the remaining endpoints cannot
+// serve more because others leave.
 func (e *Engine) warmUpShare(now time.Duration, ep *endpoint) float64 {
 	budget := warmUpMargin * max(1, e.cfg.WarmUpOverloadFactor) * e.capacityShare(now, ep)
-	return budget * ep.Weight / e.readyWeight
+	return budget * ep.Weight / max(e.readyWeight, e.readyWeightAverage)
 }
 
 // warmUpBudgetAllows enforces slow start with a token bucket: a request is allowed while the level is above 0
@@ -60,9 +65,9 @@
 }
 
 // refillWarmUpBucket adds the units that the endpoint can serve since the last refill: its warm-up share of
-// the rate that this gateway forwards, averaged for long enough to include the time before a fault. Where
-// that rate is at most the safe share of the demand, as in a new gateway or after an idle time, that share of
-// the demand at this gateway replaces it.
+// the rate at which endpoints serve this gateway, averaged for long enough to include the time before a
+// fault. Where that rate is at most the safe share of the demand, as in a new gateway or after an idle time,
+// that share of the demand at this gateway replaces it.
 func (e *Engine) refillWarmUpBucket(now time.Duration, ep *endpoint, units float64) {
 	share := e.warmUpShare(now, ep)
 	window := e.cfg.WarmUpOverloadWindow.Seconds()
@@ -71,9 +76,9 @@
 	if window > 0 {
 		freeRate = warmUpFreeRequests * units / window / float64(max(1, e.cfg.GatewayCount))
 	}
-	rate := max(share*e.forwardRate, freeRate)
+	rate := max(share*e.servedRate, freeRate)
 	addedUnits := rate * elapsed
-	if e.forwardRate <= safeDemandShare*e.demandRate {
+	if e.servedRate <= safeDemandShare*e.demandRate {
 		rate = max(share*safeDemandShare*e.demandRate, freeRate)
 		addedUnits = max(share*safeDemandShare*(e.admittedUnits-ep.admittedAtRefill), freeRate*elapsed)
 	}
@@ -81,19 +86,22 @@
 	ep.warmUpUpdatedAt, ep.admittedAtRefill = now, e.admittedUnits
 }
 
-// updateRates updates the average rates of forwarded and admitted units with those since the last pass of the
-// bandwidth manager.
-func (e *Engine) updateRates(now, elapsed time.Duration) {
-	elapsedSeconds := elapsed.Seconds()
+// updateRates updates the average rates of served and admitted units, and the average ready weight, with
+// those since the last update. It must be called before the ready weight changes.
+func (e *Engine) updateRates(now time.Duration) {
+	elapsedSeconds := (now - e.ratesUpdatedAt).Seconds()
 	if elapsedSeconds <= 0 {
 		return
 	}
 	averaging := max(minRateAveragingPasses*bandwidthManagerPeriod,
 		min(now-e.startedAt, 2*e.cfg.WarmUpDuration)).Seconds()
-	e.forwardRate += min(1, elapsedSeconds/averaging) * (e.forwardedUnits/elapsedSeconds - e.forwardRate)
-	e.forwardedUnits = 0
+	smoothing := min(1, elapsedSeconds/averaging)
+	e.servedRate += smoothing * (e.servedUnits/elapsedSeconds - e.servedRate)
+	e.readyWeightAverage = cmp.Or(e.readyWeightAverage, e.readyWeight)
+	e.readyWeightAverage += smoothing * (e.readyWeight - e.readyWeightAverage)
+	e.servedUnits = 0
 	demandAveraging := (minRateAveragingPasses * bandwidthManagerPeriod).Seconds()
 	e.demandRate += min(1, elapsedSeconds/demandAveraging) *
-		((e.admittedUnits-e.admittedAtLastPass)/elapsedSeconds - e.demandRate)
-	e.admittedAtLastPass = e.admittedUnits
+		((e.admittedUnits-e.admittedAtLastUpdate)/elapsedSeconds - e.demandRate)
+	e.ratesUpdatedAt, e.admittedAtLastUpdate = now, e.admittedUnits
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -10,7 +10,7 @@
 	const warmingEndpoint = 2
 	gateway := startTestGateway(testConfig(), 3)
 	engine := gateway.engine
-	engine.forwardRate = 60
+	engine.servedRate = 60
 	gateway.now = 100 * time.Second
 	engine.UpdateEndpoints(gateway.now, UpdateDelta,
 		[]Endpoint{{ID: warmingEndpoint, Weight: 1, State: StateReady, StartedAt: gateway.now}})
@@ -41,7 +41,7 @@
 		cfg.GatewayCount, cfg.GatewayIndex, cfg.Seed = gateways, index, uint64(index)
 		gateway := startTestGateway(cfg, 1)
 		engine := gateway.engine
-		engine.forwardRate, gateway.now = 0.1, time.Second
+		engine.servedRate, gateway.now = 0.1, time.Second
 		engine.UpdateEndpoints(gateway.now, UpdateFull,
 			[]Endpoint{{ID: 7, Weight: 1, State: StateReady, StartedAt: gateway.now}})
 		ep := engine.endpoints[7]
@@ -149,3 +149,89 @@
 		}
 	}
 }
+
+// serveRequests lets a gateway's endpoints 1 to endpoints serve one request of one unit after another, at a rate in
+// units/s. Each served request has had some rejected attempts before, and some requests that are admitted are not
+// forwarded at all.
+func serveRequests(gateway *testGateway, endpoints int, rate float64, length time.Duration, rejected, unforwarded int) {
+	engine, id := gateway.engine, RequestID(0)
+	attempt := func(status Status) {
+		id++
+		r := newRequest(engine, 1, engine.customerFor(gateway.now, &Request{Plan: unknownPlan}))
+		r.ID, r.deadline = id, gateway.now+time.Second
+		engine.requests[id] = r
+		endpoint := EndpointID(int(id)%endpoints + 1)
+		engine.forward(gateway.now, r, engine.endpoints[endpoint])
+		gateway.finishFirstAttempt(id, endpoint, status, 20*time.Millisecond)
+	}
+	for range int(rate * length.Seconds()) {
+		gateway.advance(time.Duration(float64(time.Second) / rate))
+		engine.admittedUnits += float64(1 + unforwarded)
+		for range rejected {
+			attempt(StatusRejected)
+		}
+		attempt(StatusOK)
+	}
+}
+
+// warmUpUnits returns the units that slow start lets a gateway forward to an endpoint within a second, in requests of
+// one unit. The demand stays as it is.
+func warmUpUnits(gateway *testGateway, ep *endpoint) (units float64) {
+	const pollInterval = 5 * time.Millisecond
+	for end := gateway.now + time.Second; gateway.now < end; {
+		gateway.now += pollInterval
+		gateway.engine.admittedUnits += gateway.engine.demandRate * pollInterval.Seconds()
+		if gateway.engine.warmUpBudgetAllows(gateway.now, ep, 1) {
+			ep.warmUpBucket.tokens--
+			units++
+		}
+	}
+	return units
+}
+
+// What an endpoint can serve follows from what the endpoints have served so far, each by its weight at that time. It
+// does not rise because most of them drain, nor because they are sent requests that they reject. Guards against a
+// budget that divides the rate at many endpoints by the weight of the few that are left, and against one that counts
+// rejected attempts, as at overloaded endpoints.
+func TestWarmUpBudgetKeepsToWhatEndpointsHaveServed(t *testing.T) {
+	const (
+		warm            = 12 // endpoints
+		warmingEndpoint = 100
+		servedRate      = 20.0 // units/s that each of the warm endpoints serves
+	)
+	for _, test := range []struct {
+		name        string
+		length      time.Duration // time of load before the other endpoint starts
+		rejected    int           // rejected attempts for each served request
+		unforwarded int           // requests that are not forwarded for each served one
+		draining    int           // warm endpoints that drain when the other one starts
+	}{
+		{name: "no change", length: 30 * time.Second},
+		{name: "most endpoints drain", length: 30 * time.Second, draining: warm - 1},
+		{name: "all endpoints drain", length: 30 * time.Second, draining: warm},
+		{name: "rejections", length: 30 * time.Second, rejected: 2},
+		{name: "rejections, most endpoints drain", length: 30 * time.Second, rejected: 2, draining: warm - 1},
+		{name: "new gateway, no change", length: 3 * time.Second},
+		{name: "new gateway under overload, most endpoints drain", length: 3 * time.Second, unforwarded: 4,
+			draining: warm - 1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			gateway := startTestGateway(testConfig(), warm)
+			engine := gateway.engine
+			serveRequests(gateway, warm, servedRate*warm, test.length, test.rejected, test.unforwarded)
+			list := warmingList(warmingEndpoint, 1, gateway.now)
+			for _, ep := range readyEndpoints(test.draining) {
+				ep.State = StateDraining
+				list = append(list, ep)
+			}
+			engine.UpdateEndpoints(gateway.now, UpdateDelta, list)
+			ep := engine.endpoints[warmingEndpoint]
+			units := warmUpUnits(gateway, ep)
+			budget := warmUpMargin * engine.cfg.WarmUpOverloadFactor * engine.capacityShare(gateway.now, ep) * servedRate
+			// The bucket holds half a window's budget in addition, and its last request may take it below 0.
+			if units < budget/4 || units > 1.5*budget+1 {
+				t.Errorf("slow start allows %v units in the first second, want %v to %v", units, budget/4, 1.5*budget+1)
+			}
+		})
+	}
+}
