--- a/internal/emulator/loopback/gateway.go
+++ b/internal/emulator/loopback/gateway.go
@@ -51,13 +51,14 @@
 
 	process           *process // nil while no process runs
 	state             gatewayState
-	inRotation        bool // the load balancer in front of the gateways routes new connections to the gateway
-	shutdownRequested bool // the gateway has received SIGTERM and has not become ready since
-	answersPending    bool // the process has ended, but clients may still be reading its answers
-	restartPending    bool // another process is to start when the current one has ended
-	stopObserved      bool // the end of the current process has been observed
-	startWithoutList  bool // the configuration holds no endpoint list
-	everReady         bool // the gateway has been ready at least once
+	inRotation        bool              // the load balancer in front of the gateways routes new connections to the gateway
+	shutdownRequested bool              // the gateway has received SIGTERM and has not become ready since
+	answersPending    bool              // the process has ended, but clients may still be reading its answers
+	restartPending    bool              // another process is to start when the current one has ended
+	stopObserved      bool              // the end of the current process has been observed
+	startWithoutList  bool              // the configuration holds no endpoint list
+	configuredList    []policy.Endpoint // endpoint list in the configuration
+	everReady         bool              // the gateway has been ready at least once
 
 	known           map[policy.EndpointID]policy.Endpoint // latest list entries of which the gateway counts as notified
 	idleConnections []*clientConnection                   // kept connections, the most recently used one last
@@ -116,6 +117,7 @@
 	if g.startWithoutList {
 		version, list = 0, nil
 	}
+	g.configuredList = list
 	text, err := json.MarshalIndent(gatewayConfig{
 		Name:      fmt.Sprintf("gateway-%d", g.index),
 		Listen:    g.address,
@@ -163,6 +165,7 @@
 		return
 	}
 	g.state, g.restartPending, g.stopObserved = gatewayStarting, false, false
+	g.notifyOfConfiguredList()
 	w.summary.GatewayStarts++
 	p := g.process
 	w.goroutines.Go(func() {
@@ -175,6 +178,7 @@
 // awaitReadiness waits in the background until a gateway that is started by hand is ready.
 func (g *gateway) awaitReadiness() {
 	g.state = gatewayStarting
+	g.notifyOfConfiguredList()
 	g.world.goroutines.Go(func() { g.pollReadiness(nil) })
 }
 
@@ -227,11 +231,8 @@
 	g.state, g.inRotation, g.shutdownRequested = gatewayReady, true, false
 	w := g.world
 	w.observe(emulator.GatewayStarted{Gateway: g.index})
-	_, list := g.latestList()
-	if w.listsAreLate() {
-		g.agent.notify(list) // the gateway may still be reading a list that is written slowly
-	} else {
-		g.markNotified(list)
+	if !w.scenario.Discovery.Polled {
+		g.notifyOfPushedList()
 	}
 	if g.everReady {
 		return
@@ -243,6 +244,24 @@
 	}
 }
 
+// notifyOfConfiguredList records that a new process counts as notified of the list in its configuration. If lists are
+// polled, it learns of newer ones only when it calls discovery.
+func (g *gateway) notifyOfConfiguredList() {
+	if g.world.scenario.Discovery.Polled {
+		g.markNotified(g.configuredList)
+	}
+}
+
+// notifyOfPushedList records that the gateway counts as notified of the list that its agent holds.
+func (g *gateway) notifyOfPushedList() {
+	_, list := g.latestList()
+	if g.world.listsAreLate() {
+		g.agent.notify(list) // the gateway may still be reading a list that is written slowly
+	} else {
+		g.markNotified(list)
+	}
+}
+
 // killByFault kills the process without a graceful shutdown, as in a crash.
 func (g *gateway) killByFault() {
 	if g.process == nil || g.state == gatewayDown {
