--- a/internal/frontend/accept_errors.go
+++ b/internal/frontend/accept_errors.go
@@ -36,6 +36,9 @@
 // reset clears the delay after a successful call.
 func (b *acceptBackoff) reset() { b.delay = 0 }
 
+// failing reports whether the last call failed.
+func (b *acceptBackoff) failing() bool { return b.delay > 0 }
+
 // wait sleeps after a failed call and doubles the delay with each consecutive failure. It logs the first failure of a
 // series.
 func (b *acceptBackoff) wait(err error) {
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -32,10 +32,13 @@
 
 // limitedListener is a net.Listener that accepts connections only as fast as the limiter makes room for them.
 type limitedListener struct {
-	limiter      *connectionLimiter
-	backoff      acceptBackoff // used by Accept only
-	stopping     atomic.Bool
-	stopDeadline time.Time // latest time at which Accept still accepts; set before stopping
+	limiter  *connectionLimiter
+	backoff  acceptBackoff // used by Accept only
+	stopping atomic.Bool
+
+	// The deadlines after which Accept accepts no more are set before stopping.
+	stopDeadline    time.Time // while connections are accepted
+	failureDeadline time.Time // while accept fails
 
 	mu       sync.Mutex
 	listener net.Listener // nil before attach
@@ -49,11 +52,13 @@
 }
 
 // stop makes Accept fail with net.ErrClosed once the accept queue of the operating system is empty, after maxStopDelay
-// at the latest.
-func (l *limitedListener) stop() {
+// at the latest. While accept fails, it is called again until failureDeadline, because the queue may hold connections
+// whose requests can still be answered.
+func (l *limitedListener) stop(failureDeadline time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stopDeadline = time.Now().Add(maxStopDelay)
+	l.failureDeadline = failureDeadline
 	l.stopping.Store(true)
 	if l.listener != nil {
 		l.interrupt()
@@ -108,7 +113,7 @@
 func (l *limitedListener) acceptNext() (net.Conn, error) {
 	for {
 		stopping := l.stopping.Load()
-		if stopping && time.Now().After(l.stopDeadline) {
+		if stopping && l.stopOverdue() {
 			return nil, net.ErrClosed
 		}
 		if listener, ok := l.listener.(deadlineSetter); ok && stopping {
@@ -117,6 +122,9 @@
 		conn, err := l.listener.Accept()
 		switch {
 		case err == nil:
+			if stopping && l.backoff.failing() { // further connections have waited meanwhile
+				l.stopDeadline = time.Now().Add(maxStopDelay)
+			}
 			l.backoff.reset()
 			return conn, nil
 		case errors.Is(err, os.ErrDeadlineExceeded):
@@ -134,6 +142,15 @@
 	}
 }
 
+// stopOverdue reports whether a stopping listener must not accept any more.
+func (l *limitedListener) stopOverdue() bool {
+	now := time.Now()
+	if l.backoff.failing() {
+		return now.After(l.failureDeadline)
+	}
+	return now.After(l.stopDeadline)
+}
+
 // Close closes the listener. Connections stay open.
 func (l *limitedListener) Close() error { return l.listener.Close() }
 
--- a/internal/frontend/listener_test.go
+++ b/internal/frontend/listener_test.go
@@ -17,7 +17,7 @@
 	for range backlog {
 		testkit.Dial(t, listener.Addr().String())
 	}
-	listener.stop()
+	listener.stop(time.Now())
 	listener.stopDeadline = time.Now().Add(testkit.Timeout) // long enough for a slow machine
 	for i := range backlog {
 		if _, err := listener.Accept(); err != nil {
@@ -45,7 +45,7 @@
 	t.Cleanup(func() { _ = inner.Close() }) // an error here does not matter, because the checks are done
 	testkit.Dial(t, inner.Addr().String())
 	listener := &limitedListener{limiter: newConnectionLimiter(testLimit)}
-	listener.stop()
+	listener.stop(time.Now())
 	listener.stopDeadline = time.Now().Add(testkit.Timeout)
 	listener.attach(inner)
 	if _, err := listener.Accept(); err != nil {
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -73,7 +73,8 @@
 func (s *Server) BeginDrain() { s.handler.draining.Store(true) }
 
 // StopAccepting makes Serve return once the connections in the accept queue of the operating system have been accepted.
-func (s *Server) StopAccepting() { s.listener.stop() }
+// If accept fails, Serve tries again until failureDeadline.
+func (s *Server) StopAccepting(failureDeadline time.Time) { s.listener.stop(failureDeadline) }
 
 // ContinueDrain closes the connections that are between requests, and with force also those whose request is not
 // complete. It reports whether the drain is complete, which means that no connection is left.
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -35,7 +35,7 @@
 	parts.loop.BeginShutdown(parts.clock.FromTime(answerDeadline))
 	time.Sleep(delay)
 	// Connections in the accept queue of the operating system are accepted before the listener is closed.
-	parts.server.StopAccepting()
+	parts.server.StopAccepting(answerDeadline)
 	if err := <-served; !errors.Is(err, net.ErrClosed) {
 		slog.Warn("accepting failed", "err", err) // the drain goes on with the open connections
 	}
