--- a/internal/emulator/loopback/aimed_faults.go
+++ b/internal/emulator/loopback/aimed_faults.go
@@ -18,7 +18,8 @@
 	leaveShare  float64 // share of the requests whose clients disconnect early
 	hurryShare  float64 // share of the requests that have very little time left
 	rejectShare float64 // share of the attempts that endpoints reject
-	failShare   float64 // share of the executed attempts that are reset or answered with an error
+	failShare   float64 // share of the executed attempts that are reset or answered with an error, in turn
+	failed      int     // number of attempts that failShare has selected
 
 	variedShare float64 // share of the requests that are sent in unusual forms
 
@@ -162,7 +163,8 @@
 		end := a.request.firstAttemptAt + keyTTL
 		delay = max(delay, end-world.scheduler.Now()+world.drawDuration(-keyTTL/2, failAfterTTL))
 	}
-	if world.attemptRandom.IntN(2) == 0 {
+	world.aimed.failed++
+	if world.aimed.failed%2 == 0 {
 		world.scheduler.After(delay, func() { a.sendResponse(model.JobError) })
 	} else {
 		world.scheduler.After(delay, func() {
--- a/internal/emulator/loopback/aimed_faults_test.go
+++ b/internal/emulator/loopback/aimed_faults_test.go
@@ -54,7 +54,7 @@
 	w.DisconnectClients(share, time.Minute)
 	w.HurryClients(share, time.Minute)
 	w.RejectAttempts(share, time.Minute)
-	w.FailAfterExecution(share, time.Minute)
+	w.FailAfterExecution(1, time.Minute)
 	w.RestartEndpoints(0)
 	if o.summary, err = w.Drive(t.Context()); err != nil {
 		t.Fatal(err)
