--- a/internal/emulator/invariant/class.go
+++ b/internal/emulator/invariant/class.go
@@ -7,39 +7,39 @@
 	"springfield/policy"
 )
 
-// class says how often a request of a class may take effect.
+// class describes when requests of a class may be executed more than once.
 type class struct {
 	idempotency policy.Idempotency
 	scope       policy.KeyScope
 	keyTTL      time.Duration
 }
 
-// strictest is assumed of a class that the scenario does not describe.
-var strictest = class{idempotency: policy.NonIdempotent, scope: policy.KeyScopeCell}
+// strictestClass is used for class indices that the scenario does not define.
+var strictestClass = class{idempotency: policy.NonIdempotent, scope: policy.KeyScopeCell}
 
-// classOf returns what a scenario says of a class. Values that are not known count as the strictest ones.
-func classOf(described emulator.Class) class {
-	result := strictest
-	switch described.Idempotency {
+// newClass converts a class of the scenario. Unknown values are treated as the strictest ones.
+func newClass(source emulator.Class) class {
+	result := strictestClass
+	switch source.Idempotency {
 	case "idempotent":
 		result.idempotency = policy.Idempotent
 	case "deduplicated":
 		result.idempotency = policy.IdempotentByKey
 	}
-	switch described.Scope {
+	switch source.Scope {
 	case "all", "":
 		result.scope = policy.KeyScopeFleet
 	case "zone":
 		result.scope = policy.KeyScopeZone
 	}
-	result.keyTTL = described.KeyTTL.AsDuration()
+	result.keyTTL = source.KeyTTL.AsDuration()
 	return result
 }
 
-// classOf returns the class of a request.
+// classOf returns the class of a request, or strictestClass if its index is out of range.
 func (c *Checker) classOf(r *request) class {
 	if r.class < 0 || r.class >= len(c.classes) {
-		return strictest
+		return strictestClass
 	}
 	return c.classes[r.class]
 }
