--- a/internal/emulator/loopback/address.go
+++ b/internal/emulator/loopback/address.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 )
 
-// The roles of addresses in a deployment: each is a host number in the subnet of its world.
+// Host numbers of the gateways, discovery and the endpoints in the subnet of their world.
 const (
 	gatewayHost   = 1
 	discoveryHost = 2
@@ -15,15 +15,15 @@
 )
 
 const (
-	minSecondOctet   = 16 // 127.0.0.0/12 is left to others
+	minSecondOctet   = 16 // 127.0.0.0/12 is left to other programs
 	secondOctetCount = 224
 	octetValues      = 256
 )
 
 var subnetsAllocated atomic.Uint32
 
-// subnet is a part 127.a.b.0/24 of the loopback network. Worlds that run at the same time have different ones as a
-// rule, and ports that the kernel picks do not clash with those of outgoing connections, which come from 127.0.0.1.
+// subnet is the network 127.a.b.0/24 of one world. Worlds that run at the same time usually have different subnets.
+// Ports that the kernel assigns in a subnet do not clash with those of outgoing connections, which come from 127.0.0.1.
 type subnet struct{ secondOctet, thirdOctet int }
 
 func newSubnet() subnet {
@@ -35,19 +35,20 @@
 	return fmt.Sprintf("127.%d.%d.%d", s.secondOctet, s.thirdOctet, hostNumber)
 }
 
-// listen opens a listener at a host of the subnet, on a port that the kernel picks.
+// listen opens a listener at a host of the subnet, on a port that the kernel assigns.
 func (s subnet) listen(hostNumber int) (net.Listener, error) {
 	return net.Listen("tcp4", net.JoinHostPort(s.host(hostNumber), "0"))
 }
 
-// reserve returns addresses on which nobody listens. All of them are picked before one is free again.
+// reserve returns count distinct addresses at a host of the subnet on which nobody listens. It closes its listeners
+// only after it has all addresses, so that the kernel assigns no port twice.
 func (s subnet) reserve(hostNumber, count int) (addresses []string, err error) {
 	for range count {
 		listener, err := s.listen(hostNumber)
 		if err != nil {
 			return nil, fmt.Errorf("reserve an address: %w", err)
 		}
-		defer func() { _ = listener.Close() }() // nothing has connected to it
+		defer func() { _ = listener.Close() }() // no client has connected, so an error loses nothing
 		addresses = append(addresses, listener.Addr().String())
 	}
 	return addresses, nil
--- a/internal/emulator/loopback/agent.go
+++ b/internal/emulator/loopback/agent.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// moveNotificationDelay is how long after SIGHUP a gateway counts as notified of what the new agent holds.
+	// moveNotificationDelay is the time after SIGHUP until a gateway counts as notified of the list that discovery holds
+	// at its new address.
 	moveNotificationDelay = 4 * time.Second
 
 	// silenceNotificationDelay is the time after a watch has fallen silent until its gateway counts as notified of the
@@ -23,28 +24,28 @@
 	agentHeaderTimeout = 5 * time.Second
 )
 
-// agent is what one gateway sees of discovery. Where lists are pushed it is the agent on the gateway's machine: it
-// holds the list that the model has delivered, and what it holds counts as notified. Where lists are polled it stands
-// for the shared service at an address of its own, and each call and each watch is one of the model's. Its fields
-// belong to the scheduler.
+// agent is one gateway's view of discovery. With pushed discovery it is the agent on the gateway's machine: it holds
+// the list that model.Discovery has delivered, and the gateway counts as notified of that list. With polled discovery
+// it is the shared service at an address of its own, and each call or watch opens a watch of model.Discovery. The
+// fields of an agent are accessed only in the scheduler.
 type agent struct {
 	world   *World
 	gateway int
 
-	version uint64 // of a pushed list; 0: none has been delivered yet
+	version uint64 // version of the pushed list; 0: none has been delivered yet
 	entries map[policy.EndpointID]policy.Endpoint
 
 	watches    []*watch
-	changed    chan struct{} // closed and replaced at each change that a waiting call may wait for
-	generation int           // counts the addresses that the agent has had
+	changed    chan struct{} // closed and replaced at each change that may let a waiting call go on
+	generation int           // number of addresses that the agent has had
 	address    string
 	server     *http.Server
 
-	deferUntil      time.Duration     // until when the gateway does not count as notified of what it has not read
-	deferredChanges []policy.Endpoint // of which it then counts as notified
+	deferUntil      time.Duration     // the gateway does not count as notified of changes before this time
+	deferredChanges []policy.Endpoint // changes of which the gateway counts as notified from deferUntil on
 }
 
-// newAgent starts listening.
+// newAgent returns an agent that listens for the calls of a gateway.
 func newAgent(w *World, gateway int) (*agent, error) {
 	a := &agent{
 		world:   w,
@@ -55,7 +56,7 @@
 	return a, a.listen()
 }
 
-// listen opens a listener at a new address, from where calls are answered from now on.
+// listen opens a listener at a new address and makes it the one at which calls are answered.
 func (a *agent) listen() error {
 	listener, err := a.world.subnet.listen(discoveryHost)
 	if err != nil {
@@ -72,11 +73,11 @@
 		}),
 	}
 	a.server = server
-	a.world.goroutines.Go(func() { _ = server.Serve(listener) }) // ends with http.ErrServerClosed
+	a.world.goroutines.Go(func() { _ = server.Serve(listener) }) // returns http.ErrServerClosed once it is closed
 	return nil
 }
 
-// deliver takes a pushed update of the list over.
+// deliver applies a pushed update to the list and passes the changes on to the open watches.
 func (a *agent) deliver(kind policy.UpdateKind, version uint64, list []policy.Endpoint) {
 	if kind == policy.UpdateFailed {
 		return
@@ -100,7 +101,7 @@
 	a.notify(changes)
 }
 
-// missingFrom returns an entry in the state removed for each endpoint that a complete list leaves out.
+// missingFrom returns an entry in the state removed for each held endpoint that a complete list does not contain.
 func (a *agent) missingFrom(list []policy.Endpoint) []policy.Endpoint {
 	var missing []policy.Endpoint
 	for _, held := range a.list() {
@@ -112,12 +113,12 @@
 	return missing
 }
 
-// list returns the pushed list by id.
+// list returns the pushed list in the order of endpoint IDs.
 func (a *agent) list() []policy.Endpoint {
 	return slices.SortedFunc(maps.Values(a.entries), func(x, y policy.Endpoint) int { return cmp.Compare(x.ID, y.ID) })
 }
 
-// notify makes the gateway count as notified of changes: now, or later if it cannot have read them.
+// notify records that the gateway counts as notified of changes: now, or at deferUntil if it cannot have read them yet.
 func (a *agent) notify(changes []policy.Endpoint) {
 	now := a.world.scheduler.Now()
 	if now >= a.deferUntil {
@@ -132,14 +133,14 @@
 	})
 }
 
-// notifyDeferred makes the gateway count as notified of all that the agent holds.
+// notifyDeferred ends the deferral of notifications: the gateway counts as notified of all deferred changes.
 func (a *agent) notifyDeferred() {
 	changes := a.deferredChanges
 	a.deferUntil, a.deferredChanges = 0, nil
 	a.world.markNotified(a.gateway, changes)
 }
 
-// silence makes the open watches bring nothing any more, not even an empty line.
+// silence stops all open watches from sending updates and keep-alive lines.
 func (a *agent) silence() {
 	for _, w := range a.watches {
 		w.silent = true
@@ -147,7 +148,7 @@
 	a.deferUntil = max(a.deferUntil, a.world.scheduler.Now()+silenceNotificationDelay)
 }
 
-// migrate moves the agent to a new address. The old one answers nothing any more.
+// migrate moves the agent to a new address. Calls at the old address get no answer from then on.
 func (a *agent) migrate() error {
 	old := a.server
 	if err := a.listen(); err != nil {
@@ -158,24 +159,24 @@
 	}
 	a.wakeCalls()
 	a.deferUntil = max(a.deferUntil, a.world.scheduler.Now()+moveNotificationDelay)
-	a.world.scheduler.After(moveNotificationDelay, func() { _ = old.Close() }) // its connections are of no use any more
+	a.world.scheduler.After(moveNotificationDelay, func() { _ = old.Close() }) // no call at the old address is answered
 	return nil
 }
 
-// wakeCalls lets the calls that wait look again.
+// wakeCalls makes waiting calls check again whether they can be answered.
 func (a *agent) wakeCalls() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// close ends the listener and the connections. The calls have ended with the context of the world.
+// close closes the listener and the connections. All calls have ended before, with the context of the world.
 func (a *agent) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), agentShutdownTimeout)
 	defer cancel()
 	if a.server.Shutdown(ctx) != nil {
-		_ = a.server.Close() // the listener and the connections end, whatever it returns
+		_ = a.server.Close() // closes the listener and the connections even if it returns an error
 	}
 }
 
-// agentShutdownTimeout bounds how long connections that carry no call keep a listener from closing.
+// agentShutdownTimeout limits how long connections that carry no call can delay the close of an agent's server.
 const agentShutdownTimeout = 200 * time.Millisecond
--- a/internal/emulator/loopback/attempt.go
+++ b/internal/emulator/loopback/attempt.go
@@ -11,16 +11,17 @@
 	"springfield/policy"
 )
 
-// attempt is one attempt of a gateway that has reached an endpoint's machine. Its fields belong to the scheduler.
+// attempt is one attempt of a gateway that has reached an endpoint's machine. Its fields are accessed only in the
+// scheduler.
 type attempt struct {
 	request  *request
 	number   int
 	conn     *upstreamConnection
-	answered chan<- struct{} // closed when the answer has been written
-	deadline time.Duration   // when the gateway gives it up, by its Req-Deadline
+	answered chan<- struct{} // closed when the response has been written and the connection stays open
+	deadline time.Duration   // when the gateway gives the attempt up, according to its Req-Deadline header
 
-	submitted bool // the endpoint has got it complete
-	rejected  bool // the endpoint does not execute it
+	submitted bool // the attempt was complete and was passed to the endpoint's model as a job
+	rejected  bool // the endpoint does not execute the attempt
 	ended     bool
 }
 
@@ -41,7 +42,7 @@
 	return clientRequest, http.StatusOK
 }
 
-// beginAttempt observes an attempt that a gateway has sent.
+// beginAttempt records an attempt for a client's request and observes that a gateway has forwarded it.
 func (w *World) beginAttempt(clientRequest *request, c *upstreamConnection, newConnection bool) *attempt {
 	w.endClosedAttempts(clientRequest)
 	a := &attempt{request: clientRequest, number: clientRequest.attempts, conn: c}
@@ -58,8 +59,8 @@
 	return a
 }
 
-// endClosedAttempts ends the attempts of a request whose connections the gateway has closed already, although their
-// goroutines have not noticed it yet: the next attempt is no second one at the same time.
+// endClosedAttempts ends the attempts of a request whose connections the gateway has closed. The goroutines of these
+// connections may not have noticed it yet, and the next attempt must not count as concurrent with a closed one.
 func (w *World) endClosedAttempts(clientRequest *request) {
 	for _, earlier := range slices.Clone(clientRequest.inFlight) {
 		if peerHasClosed(earlier.conn.conn) {
@@ -68,7 +69,7 @@
 	}
 }
 
-// receive handles that the attempt has reached the endpoint complete.
+// receive handles the arrival of the complete attempt at the endpoint.
 func (a *attempt) receive() {
 	if a.ended {
 		return
@@ -102,15 +103,15 @@
 	}
 }
 
-// scheduleResponse has the answer of the endpoint sent.
+// scheduleResponse sends the endpoint's response after the network delay.
 func (a *attempt) scheduleResponse(result model.JobResult) {
 	a.rejected = result == model.JobRejected
 	world := a.conn.endpoint.world
 	world.scheduler.After(world.network.Delay(), func() { a.sendResponse(result) })
 }
 
-// sendResponse writes the response, unless the attempt has ended. It counts as ended before the first byte is written,
-// because the gateway may send another one right after the last.
+// sendResponse writes the response unless the attempt has ended. The attempt ends before the first byte is written,
+// because the gateway may send the next attempt as soon as it has read the last byte.
 func (a *attempt) sendResponse(result model.JobResult) {
 	world := a.conn.endpoint.world
 	if a.ended {
@@ -140,7 +141,8 @@
 	}
 }
 
-// endByClose ends an attempt whose connection the gateway has closed.
+// endByClose ends an attempt whose connection the gateway has closed: the attempt timed out if its deadline has passed,
+// and was cancelled otherwise.
 func (a *attempt) endByClose() {
 	status := policy.StatusCancelled
 	if a.conn.endpoint.world.scheduler.Now() >= a.deadline {
@@ -169,7 +171,7 @@
 	})
 }
 
-// deleteItem deletes an item and keeps the order of the others.
+// deleteItem deletes the first occurrence of an item and keeps the order of the others.
 func deleteItem[T comparable](items []T, item T) []T {
 	if i := slices.Index(items, item); i >= 0 {
 		return slices.Delete(items, i, i+1)
--- a/internal/emulator/loopback/byte_faults.go
+++ b/internal/emulator/loopback/byte_faults.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// byteFault is what happens to the bytes of a response on their way.
+// byteFault is a fault in the transmission of a response.
 type byteFault struct {
 	kind     byteFaultKind
-	position float64 // the place of the fault, as a share of the bytes
+	position float64 // where the fault occurs, as a share of the encoded response
 }
 
 type byteFaultKind uint8
 
 const (
 	byteFaultNone      byteFaultKind = iota
-	byteFaultReset                   // the connection is reset after a part
-	byteFaultHalfClose               // the endpoint ends its sending after a part, and goes on to read
-	byteFaultStall                   // nothing comes for a while after a part
-	byteFaultTrickle                 // a few bytes come at a time
-	byteFaultDuplicate               // the response comes twice
+	byteFaultReset                   // the connection is reset after a part of the response
+	byteFaultHalfClose               // the endpoint closes its sending side after a part and keeps reading
+	byteFaultStall                   // nothing is sent for stallDuration after a part of the response
+	byteFaultTrickle                 // trickleChunkBytes are sent at a time
+	byteFaultDuplicate               // the response is sent twice
 	byteFaultKindCount
 )
 
@@ -31,10 +31,10 @@
 	trickleInterval   = 2 * time.Millisecond
 )
 
-// errTruncated says that a response was not written whole on purpose.
-var errTruncated = errors.New("the response is cut")
+// errTruncated reports that a fault, or the end of the world, kept a response from being written completely.
+var errTruncated = errors.New("response truncated by a fault or by the end of the run")
 
-// drawByteFault draws what happens to a response while SpoilBytes is in force.
+// drawByteFault draws the fault of a response: none, or a random one for the share of responses that SpoilBytes set.
 func (w *World) drawByteFault(random *rand.Rand) byteFault {
 	if random.Float64() >= w.byteFaultShare {
 		return byteFault{}
@@ -42,17 +42,17 @@
 	return byteFault{kind: byteFaultKind(1 + random.IntN(int(byteFaultKindCount)-1)), position: random.Float64()}
 }
 
-// truncates reports whether the response does not arrive whole.
+// truncates reports whether the fault keeps the response from arriving completely.
 func (f byteFault) truncates() bool { return f.kind == byteFaultReset || f.kind == byteFaultHalfClose }
 
-// writeWithFault writes an encoded response as its fault says.
+// writeWithFault writes an encoded response and applies its fault.
 func (c *upstreamConnection) writeWithFault(encoded []byte, fault byteFault) error {
 	offset := int(fault.position * float64(len(encoded)))
 	switch fault.kind {
 	case byteFaultReset, byteFaultHalfClose:
-		_, _ = c.conn.Write(encoded[:offset]) // it is cut off in any case
+		_, _ = c.conn.Write(encoded[:offset]) // the response is truncated in any case
 		if tcp, ok := c.conn.(*net.TCPConn); ok && fault.kind == byteFaultHalfClose {
-			_ = tcp.CloseWrite() // fails only once it is closed
+			_ = tcp.CloseWrite() // fails only on a closed connection
 			c.endpoint.world.sleep(stallDuration)
 			return errTruncated
 		}
@@ -92,7 +92,8 @@
 	return nil
 }
 
-// SpoilBytes makes faults at byte positions of a share of the responses for a time.
+// SpoilBytes applies random transmission faults to a share of the responses for a time: resets, half-closes, stalls,
+// slow writes and duplicates.
 func (w *World) SpoilBytes(share float64, length time.Duration) {
 	w.scheduler.Do(func() {
 		w.byteFaultShare = share
--- a/internal/emulator/loopback/connections.go
+++ b/internal/emulator/loopback/connections.go
@@ -10,11 +10,11 @@
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // fails on a closed connection
 	}
-	_ = conn.Close() // it may be closed already
+	_ = conn.Close() // the connection may be closed already
 }
 
-// peerHasClosed reports whether the peer has closed or reset the connection and nothing of it is left to be read. It
-// does not block and reads nothing.
+// peerHasClosed reports whether the peer has closed or reset the connection and no unread bytes are left. It neither
+// blocks nor consumes bytes.
 func peerHasClosed(conn net.Conn) bool {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
--- a/internal/emulator/loopback/endpoint.go
+++ b/internal/emulator/loopback/endpoint.go
@@ -10,20 +10,21 @@
 	"springfield/policy"
 )
 
-// endpoint is an upstream server: the model of its machine behind a listener. Its fields belong to the scheduler.
+// endpoint is an upstream server: the model of its machine behind a listener. Its fields are accessed only in the
+// scheduler.
 type endpoint struct {
 	world      *World
 	id         policy.EndpointID
 	zone, cell int
 	server     *model.Server
 	address    string
-	listener   net.Listener // nil: its process has ended
-	partitions int          // partitions that cut it off from all gateways now
+	listener   net.Listener // nil while the endpoint's process is stopped
+	partitions int          // active partitions that separate the endpoint from all gateways
 
-	connections []*upstreamConnection // that are open, in the order in which they were accepted
+	connections []*upstreamConnection // open connections in the order of their acceptance
 }
 
-// addEndpoint starts a new endpoint. startedAt 0 means that it has run for long.
+// addEndpoint starts a new endpoint. If startedAt is 0, the endpoint started long ago and is warm.
 func (w *World) addEndpoint(zone, cell int, startedAt time.Duration) error {
 	listener, err := w.subnet.listen(endpointHost)
 	if err != nil {
@@ -46,7 +47,8 @@
 	return nil
 }
 
-// markStarted accepts connections and publishes the endpoint.
+// markStarted observes the start of the endpoint's process, publishes the endpoint in discovery and accepts
+// connections.
 func (e *endpoint) markStarted(listener net.Listener, warming bool) {
 	e.listener = listener
 	e.world.observe(emulator.EndpointStarted{Endpoint: e.id, Warming: warming})
@@ -54,7 +56,7 @@
 	e.world.goroutines.Go(func() { e.acceptConnections(listener) })
 }
 
-// acceptConnections serves the connections of one process of the endpoint until its listener is closed.
+// acceptConnections accepts connections for one process of the endpoint until its listener is closed.
 func (e *endpoint) acceptConnections(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -76,7 +78,7 @@
 	}
 }
 
-// acceptRetryDelay is the pause after a connection could not be accepted, as when no descriptor is free.
+// acceptRetryDelay is the pause after a failed accept, for example when no file descriptor is free.
 const acceptRetryDelay = 10 * time.Millisecond
 
 // addConnection serves a connection that the listener has accepted. It reports false if the process of that listener
@@ -100,7 +102,7 @@
 	e.world.discovery.Set(e.server.Endpoint())
 }
 
-// stop ends the endpoint's process: its connections are reset and new ones are refused.
+// stop ends the endpoint's process: open connections are reset and new ones are refused.
 func (e *endpoint) stop() {
 	if e.listener == nil {
 		return
@@ -134,12 +136,12 @@
 
 func (e *endpoint) closeListener() {
 	if e.listener != nil {
-		_ = e.listener.Close() // it is open: it is closed only here
+		_ = e.listener.Close() // no other code closes it, so it is still open
 		e.listener = nil
 	}
 }
 
-// endpoint returns the endpoint of an id, or nil.
+// endpoint returns the endpoint with the given ID, or nil if there is none.
 func (w *World) endpoint(id policy.EndpointID) *endpoint {
 	if id == 0 || int(id) > len(w.endpoints) {
 		return nil
@@ -147,7 +149,7 @@
 	return w.endpoints[id-1]
 }
 
-// endpointAddress is the addressBook of the world.
+// endpointAddress returns the address of an endpoint, or "" if there is no such endpoint. It is an addressLookup.
 func (w *World) endpointAddress(id policy.EndpointID) string {
 	if e := w.endpoint(id); e != nil {
 		return e.address
@@ -155,7 +157,7 @@
 	return ""
 }
 
-// sleep waits for a time. It reports false if the world ends before.
+// sleep waits for the delay. It reports false if the world ends first.
 func (w *World) sleep(delay time.Duration) bool {
 	select {
 	case <-time.After(delay):
--- a/internal/emulator/loopback/endpoint_list.go
+++ b/internal/emulator/loopback/endpoint_list.go
@@ -9,7 +9,7 @@
 	"springfield/policy"
 )
 
-// listMessage is a list of endpoints in discovery's JSON form: the complete list, or the entries that have changed.
+// listMessage is an endpoint list in discovery's JSON format: the complete list, or only the entries that have changed.
 type listMessage struct {
 	Version uint64            `json:"version"`
 	Full    bool              `json:"full"`
@@ -28,13 +28,13 @@
 	StartedMS int64   `json:"started_ms"`
 }
 
-// instanceKind is the kind of machine that all endpoints have.
+// instanceKind is the kind that discovery reports for every endpoint.
 const instanceKind = "loopback"
 
-// addressLookup tells at which address an endpoint is reached.
+// addressLookup returns the address of an endpoint.
 type addressLookup func(id policy.EndpointID) string
 
-// newListMessage returns the message with start times by a clock that differs by an offset.
+// newListMessage returns the message for a list. It adds clockOffset to the start times.
 func newListMessage(version uint64, full bool, list []policy.Endpoint, addressOf addressLookup,
 	clockOffset time.Duration) listMessage {
 	message := listMessage{Version: version, Full: full, Servers: make([]instanceMessage, 0, len(list))}
@@ -53,7 +53,7 @@
 	return message
 }
 
-// startedMS returns a start time as discovery tells it; 0 stays long ago.
+// startedMS returns a start time in milliseconds, as discovery reports it. The start time 0 means long ago and stays 0.
 func startedMS(startedAt, clockOffset time.Duration) int64 {
 	if startedAt <= 0 {
 		return 0
@@ -61,7 +61,7 @@
 	return int64((startedAt + clockOffset) / time.Millisecond)
 }
 
-// encode returns the message as one line of a watch.
+// encode returns the message as one line, including its end, as a watch sends it.
 func (m listMessage) encode() ([]byte, error) {
 	line, err := json.Marshal(m)
 	if err != nil {
--- a/internal/emulator/loopback/faults.go
+++ b/internal/emulator/loopback/faults.go
@@ -7,7 +7,7 @@
 	"springfield/policy"
 )
 
-// faultTarget lets the fault schedule act on the world. Faults of gateways that are started by hand are left out.
+// faultTarget applies the scenario's fault schedule to the world. It skips faults of gateways that are started by hand.
 type faultTarget struct{ w *World }
 
 var _ model.FaultTarget = faultTarget{}
@@ -117,7 +117,8 @@
 	}
 }
 
-// SilenceWatches implements model.FaultTarget. Where lists are pushed, the agents go on learning of changes.
+// SilenceWatches implements model.FaultTarget. With pushed discovery, the agents still receive changes: only their
+// watches to the gateways fall silent.
 func (t faultTarget) SilenceWatches() {
 	if t.w.scenario.Discovery.Polled {
 		t.w.discovery.Silence()
@@ -127,7 +128,8 @@
 	}
 }
 
-// MoveDiscovery implements model.FaultTarget: each gateway gets a new configuration, and SIGHUP.
+// MoveDiscovery implements model.FaultTarget. It moves each agent to a new address, writes that address to the
+// gateway's configuration and sends SIGHUP.
 func (t faultTarget) MoveDiscovery() {
 	if !t.w.startsGateways() {
 		return
--- a/internal/emulator/loopback/request.go
+++ b/internal/emulator/loopback/request.go
@@ -14,30 +14,32 @@
 const (
 	requestIDHeader = "Req-Id"
 
-	// requestRetention is how long a request is known after its final answer, for attempts that come late.
+	// requestRetention is how long a request is kept after its final answer, so that late attempts are recognized.
 	requestRetention = 30 * time.Second
 )
 
-// request is one try of a client. Its fields belong to the scheduler, but for the message, which does not change.
+// request is one try of a client: a first request or a retry. Its fields are accessed only in the scheduler, except the
+// message, which does not change.
 type request struct {
-	arrival            model.Arrival // its gateway is the one that the front has brought it to
+	arrival            model.Arrival // the try; Gateway is where the load balancer has routed it
 	message            message
 	inFlight           []*attempt
 	attempts           int
-	bodies             []string // of the complete answers that endpoints made for it
-	metered            bool     // its units have been taken
-	billed             bool     // an answer has carried its true units
-	submissionObserved bool     // as submitted
-	resent             bool     // it was sent once more because it had not been read
+	bodies             []string // bodies of the complete responses that endpoints made for the request
+	metered            bool     // the meter has recorded the request's units
+	billed             bool     // a response has reported the request's true units
+	submissionObserved bool     // emulator.RequestSubmitted has been observed
+	resent             bool     // the request was sent once more because the gateway had not read it
 }
 
-// message is the part of a request that gateways pass on unchanged, and the rest of its head.
+// message is a request in HTTP without its Req-Deadline header. Gateways pass method, path and body on unchanged.
 type message struct {
 	method, path, body string
-	header             []string // complete lines without their ends
+	header             []string // complete header lines without CRLF
 }
 
-// newMessage writes a request as PROTOCOL-springfield.md has it. Its Req-Deadline is added when it is sent.
+// newMessage returns the message of a request in the form of the gateways' HTTP protocol. The Req-Deadline header is
+// added when the message is encoded.
 func newMessage(scenario *emulator.Scenario, arrival *model.Arrival) message {
 	class := &scenario.Classes[arrival.Class]
 	m := message{
@@ -54,7 +56,7 @@
 	case settings.RepeatIdempotent:
 		m.method = http.MethodGet
 	case settings.RepeatDeduplicated:
-		// All tries of a client are the same operation.
+		// A first try and its retries are the same operation, so they share a key.
 		m.header = append(m.header, fmt.Sprintf("Idempotency-Key: %016x", uint64(arrival.Original)))
 	}
 	if m.method == http.MethodPost {
@@ -63,7 +65,7 @@
 	return m
 }
 
-// encode returns the message as a client writes it. The client waits for the given time.
+// encode returns the bytes that a client sends. wait is how long the client waits for the answer, for Req-Deadline.
 func (m *message) encode(wait time.Duration) []byte {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: origin.svc\r\n", m.method, m.path)
@@ -78,7 +80,7 @@
 	return text.Bytes()
 }
 
-// matches reports whether an attempt carries the message unchanged.
+// matches reports whether a received attempt carries the message unchanged.
 func (m *message) matches(received receivedRequest) bool {
 	head := received.head
 	return head.Method == m.method && head.URL.RequestURI() == m.path && received.body == m.body
--- a/internal/emulator/loopback/response.go
+++ b/internal/emulator/loopback/response.go
@@ -12,21 +12,21 @@
 	"springfield/policy"
 )
 
-// unsolicitedDelay is how much later than the answer a second one comes that nobody has asked for.
+// unsolicitedDelay is the time between a response and the unsolicited response that follows it.
 const unsolicitedDelay = 3 * time.Millisecond
 
-// response is what an endpoint writes.
+// response is an HTTP response of an endpoint.
 type response struct {
 	status           int
-	header           []string // complete lines without their ends
+	header           []string // complete header lines without CRLF
 	body             string
-	closesConnection bool      // the connection ends with it
-	truncated        bool      // it ends in the middle of the body
-	unsolicited      *response // a second answer on the same connection; nil: none
-	fault            byteFault // of its bytes
+	closesConnection bool      // the endpoint closes the connection after the response
+	truncated        bool      // only the first half of the body is sent
+	unsolicited      *response // a second response that no request has asked for; nil: none
+	fault            byteFault // fault in the transmission of the response
 }
 
-// encode returns the response as it is written.
+// encode returns the bytes of the response as they are sent without a byteFault.
 func (r *response) encode() []byte {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "HTTP/1.1 %d %s\r\n", r.status, http.StatusText(r.status))
@@ -46,8 +46,8 @@
 	return text.Bytes()
 }
 
-// newResponse returns the response to an attempt. If spoilt answers are a fault of the moment, some end early and
-// others are followed by one that nobody has asked for.
+// newResponse returns the response to an attempt. While the fault of spoilt answers is active, some responses are
+// truncated and others are followed by an unsolicited response.
 func (w *World) newResponse(a *attempt, result model.JobResult) *response {
 	r := &response{header: w.responseHeaderLines(a, result)}
 	switch result {
@@ -63,7 +63,7 @@
 	r.body = fmt.Sprintf("endpoint %d made this for request %016x, attempt %d\n",
 		a.conn.endpoint.id, uint64(a.request.arrival.Request), a.number)
 	w.spoilResponse(r)
-	if !r.truncated { // what is cut short and then doubled would be another whole response
+	if !r.truncated { // a truncated response that is sent twice could be read as one complete response
 		r.fault = w.drawByteFault(w.attemptRandom)
 	}
 	if r.fault.truncates() {
@@ -75,7 +75,7 @@
 	return r
 }
 
-// spoilResponse spoils a share of the answers.
+// spoilResponse truncates a response or adds an unsolicited one, with the probability spoiltShare.
 func (w *World) spoilResponse(r *response) {
 	if w.attemptRandom.Float64() >= w.spoiltShare {
 		return
@@ -87,7 +87,8 @@
 	r.unsolicited = &response{status: http.StatusOK, body: "nobody has asked for this\n"}
 }
 
-// responseHeaderLines returns the lines that tell of usage, bill and load.
+// responseHeaderLines returns the header lines that report a rejection, the customer's usage, the billed units and the
+// endpoint's load.
 func (w *World) responseHeaderLines(a *attempt, result model.JobResult) []string {
 	var lines []string
 	if result == model.JobRejected {
@@ -110,7 +111,7 @@
 
 const percent = 100
 
-// formatLoadReport returns a load report with the columns that the settings name (model.Settings).
+// formatLoadReport formats a load report with the columns that model.Settings names.
 func formatLoadReport(load policy.LoadReport) string {
 	return strings.Join([]string{
 		"inflight=" + formatDecimal(load.InFlight),
@@ -119,14 +120,14 @@
 	}, ",")
 }
 
-// formatDecimal formats a number with at most four decimals and no exponent.
+// formatDecimal formats a number with at most four decimals and without an exponent.
 func formatDecimal(value float64) string {
 	const decimals = 4
 	text := strconv.FormatFloat(value, 'f', decimals, 64)
 	return strings.TrimSuffix(strings.TrimRight(text, "0"), ".")
 }
 
-// parseSeconds parses a decimal number of seconds. It is 0 if the text is none.
+// parseSeconds parses a decimal number of seconds. It returns 0 if the text is not a number.
 func parseSeconds(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil {
--- a/internal/emulator/loopback/upstream_connection.go
+++ b/internal/emulator/loopback/upstream_connection.go
@@ -10,29 +10,30 @@
 
 const (
 	maxBodyBytes         = 64 << 10
-	requestReadTimeout   = 10 * time.Second // for a request that has begun
+	requestReadTimeout   = 10 * time.Second // for the rest of a request after its first byte
 	responseWriteTimeout = 5 * time.Second
 	defaultIdleTimeout   = time.Minute
 )
 
-// upstreamConnection is a connection of a gateway to an endpoint. Its goroutine reads requests and notices its end, by
-// which a gateway gives an attempt up; each answer is written by a goroutine that the scheduler starts once it is due.
+// upstreamConnection is a connection of a gateway to an endpoint. Its goroutine reads requests and notices when the
+// gateway closes the connection to give an attempt up. Each response is written by a goroutine of its own, which the
+// scheduler starts when the response is due.
 type upstreamConnection struct {
 	endpoint        *endpoint
 	conn            net.Conn
-	processListener net.Listener // of the endpoint's process that has accepted it
+	processListener net.Listener // listener that accepted the connection; it identifies the endpoint's process
 
-	// What follows belongs to the scheduler.
+	// The fields below are accessed only in the scheduler.
 
-	admitted        bool     // it has a place in the endpoint's connection table
-	used            bool     // a request has come on it
-	gateway         int      // whose request that was
-	lostByPartition bool     // something was lost on it because of a partition
-	resetLocally    bool     // it has been reset from this side
-	current         *attempt // nil: none is in flight
+	admitted        bool     // the connection has a place in the endpoint's connection table
+	used            bool     // a request has arrived on the connection
+	gateway         int      // gateway that sent the latest request on the connection
+	lostByPartition bool     // a request or response was lost on the connection in a partition
+	resetLocally    bool     // the endpoint's machine has reset the connection
+	current         *attempt // attempt in flight; nil: none
 }
 
-// receivedRequest is a complete request as it was read.
+// receivedRequest is a complete request as read from a connection.
 type receivedRequest struct {
 	head *http.Request
 	body string
@@ -50,7 +51,7 @@
 			return
 		}
 		select {
-		case <-answered: // the one before, on a connection that is kept
+		case <-answered: // the previous request has been answered, and the connection stays open
 		case <-c.endpoint.world.ctx.Done():
 			return
 		}
@@ -59,7 +60,7 @@
 		if err != nil {
 			return
 		}
-		_ = c.conn.SetReadDeadline(time.Time{}) // a read on a closed connection fails by itself
+		_ = c.conn.SetReadDeadline(time.Time{}) // fails only on a closed connection, where the next read fails too
 		answered = make(chan struct{})
 		c.endpoint.world.scheduler.Do(func() { c.handleRequest(received, answered) })
 	}
@@ -79,7 +80,7 @@
 func (c *upstreamConnection) handleRequest(received receivedRequest, answered chan<- struct{}) {
 	world := c.endpoint.world
 	if c.resetLocally {
-		return // the reset has come before the request
+		return // the connection was reset before the request was handled
 	}
 	firstRequest := !c.used
 	c.used = true
@@ -90,7 +91,7 @@
 	}
 	c.gateway = clientRequest.arrival.Gateway
 	if !world.reachable(c.gateway, c.endpoint) {
-		c.lostByPartition = true // nothing of it arrives, and nothing is answered
+		c.lostByPartition = true // the partition loses the request, so there is no response
 		return
 	}
 	c.current = world.beginAttempt(clientRequest, c, firstRequest)
@@ -103,16 +104,16 @@
 	world.scheduler.After(delay, c.current.receive)
 }
 
-// writeResponse writes a response in a goroutine of its own.
+// writeResponse writes a response in a new goroutine. It closes answered if the connection stays open.
 func (c *upstreamConnection) writeResponse(r *response, answered chan<- struct{}) {
 	c.endpoint.world.goroutines.Go(func() {
-		_ = c.conn.SetWriteDeadline(time.Now().Add(responseWriteTimeout)) // a write on a closed connection fails by itself
+		_ = c.conn.SetWriteDeadline(time.Now().Add(responseWriteTimeout)) // on a closed connection the write fails too
 		err := c.writeWithFault(r.encode(), r.fault)
 		if err == nil && r.unsolicited != nil && c.endpoint.world.sleep(unsolicitedDelay) {
 			_, err = c.conn.Write(r.unsolicited.encode())
 		}
 		if err != nil || r.closesConnection {
-			_ = c.conn.Close() // which serve notices; it may be closed already
+			_ = c.conn.Close() // ends the read in serve; the connection may be closed already
 			return
 		}
 		c.setReadDeadline(c.idleTimeout())
@@ -120,7 +121,7 @@
 	})
 }
 
-// release ends the attempt that is in flight on the connection, and gives its place back.
+// release ends the attempt in flight on the connection and frees the connection's place in the endpoint's table.
 func (c *upstreamConnection) release() {
 	c.endpoint.world.scheduler.Do(func() {
 		if c.current != nil {
@@ -131,10 +132,10 @@
 		}
 		c.endpoint.connections = deleteItem(c.endpoint.connections, c)
 	})
-	_ = c.conn.Close() // it may be closed already
+	_ = c.conn.Close() // the connection may be closed already
 }
 
-// closeWithReset ends the connection with a reset, and the attempt on it before.
+// closeWithReset ends the attempt in flight on the connection and then resets the connection.
 func (c *upstreamConnection) closeWithReset() {
 	c.resetLocally = true
 	if c.current != nil {
@@ -151,5 +152,5 @@
 }
 
 func (c *upstreamConnection) setReadDeadline(timeout time.Duration) {
-	_ = c.conn.SetReadDeadline(time.Now().Add(timeout)) // a read on a closed connection fails by itself
+	_ = c.conn.SetReadDeadline(time.Now().Add(timeout)) // fails only on a closed connection, where reads fail too
 }
--- a/internal/emulator/loopback/watch.go
+++ b/internal/emulator/loopback/watch.go
@@ -13,10 +13,10 @@
 const (
 	instancesPath     = "/registry/instances"
 	keepAliveInterval = 2 * time.Second
-	watchBacklog      = 256 // updates that wait to be written; a watch that is slower ends
+	watchBacklog      = 256 // capacity of a watch's queue of unwritten updates; the watch ends when it overflows
 )
 
-// update is a list to be written, or the news that the call has failed.
+// update is an endpoint list to be written, or the failure of a call.
 type update struct {
 	failed  bool
 	full    bool
@@ -25,15 +25,16 @@
 	message listMessage
 }
 
-// watch is one open watch of a gateway, or one call for the list. Its fields belong to the scheduler.
+// watch is one open watch of a gateway, or one call for the complete list. Its fields are accessed only in the
+// scheduler.
 type watch struct {
 	agent      *agent
 	updates    chan update
-	silent     bool
-	overflowed bool // it was too slow
+	silent     bool // the watch queues no more updates and sends no keep-alive lines
+	overflowed bool // the watch ended because its queue was full
 }
 
-// deliver queues an update; it is a model.Deliver.
+// deliver queues an update. It is a model.Deliver.
 func (w *watch) deliver(kind policy.UpdateKind, version uint64, list []policy.Endpoint) {
 	if w.silent || w.overflowed {
 		return
@@ -56,14 +57,14 @@
 
 var _ model.Deliver = (*watch)(nil).deliver
 
-// serve answers a call at the address of the given generation.
+// serve answers a call that arrived at the agent's address of the given generation.
 func (a *agent) serve(w http.ResponseWriter, r *http.Request, generation int) {
 	if r.Method != http.MethodGet || r.URL.Path != instancesPath {
 		http.NotFound(w, r)
 		return
 	}
 	isWatch := r.URL.Query().Get("watch") == "1"
-	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64) // 0 if there is none
+	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64) // 0 if the parameter is missing or invalid
 	opened, stop, ok := a.openWatch(r, generation, isWatch, after)
 	if !ok {
 		return
@@ -76,7 +77,8 @@
 	}
 }
 
-// openWatch opens a watch once discovery can be reached at this address. It fails if the caller leaves before.
+// openWatch opens a watch once discovery answers calls at this address. It reports false if the caller disconnects
+// first.
 func (a *agent) openWatch(r *http.Request, generation int, isWatch bool,
 	after uint64) (w *watch, stop func(), ok bool) {
 	for {
@@ -100,13 +102,13 @@
 	}
 }
 
-// answersCalls reports whether a call at an address of the generation gets an answer.
+// answersCalls reports whether calls at the agent's address of the given generation are answered.
 func (a *agent) answersCalls(generation int) bool {
 	reachable := generation == a.generation && !a.world.discoveryDown
 	return reachable && (a.world.scenario.Discovery.Polled || a.version > 0)
 }
 
-// attach connects a watch to its source and returns what detaches it.
+// attach connects a watch to its source of updates and returns a function that disconnects it.
 func (a *agent) attach(w *watch, isWatch bool, after uint64) (detach func()) {
 	cancel := func() {}
 	if a.world.scenario.Discovery.Polled {
@@ -115,7 +117,7 @@
 		if !isWatch || after != a.version {
 			w.deliver(policy.UpdateFull, a.version, a.list())
 		}
-		if a.world.slowListDuration == 0 { // a slow list is not read yet
+		if a.world.slowListDuration == 0 { // a list that is written slowly does not count as read yet
 			a.notifyDeferred()
 		}
 	}
@@ -126,7 +128,7 @@
 	}
 }
 
-// serveList writes the complete list.
+// serveList answers a call with the complete list.
 func (w *watch) serveList(response http.ResponseWriter, r *http.Request) {
 	select {
 	case next, ok := <-w.updates:
@@ -139,13 +141,16 @@
 	}
 }
 
-// serveWatch writes each update in a line, and an empty line now and then, until the connection or the watch ends.
+// serveWatch writes each update as one line, and an empty line every keepAliveInterval, until the connection or the
+// watch ends.
 func (w *watch) serveWatch(response http.ResponseWriter, r *http.Request) {
 	keepAlive := time.NewTicker(keepAliveInterval)
 	defer keepAlive.Stop()
 	flusher := http.NewResponseController(response)
+	// With pushed discovery the response begins at once. With polled discovery the call may still fail with an error
+	// status, so nothing is sent before the first update.
 	if !w.agent.world.scenario.Discovery.Polled && flusher.Flush() != nil {
-		return // a pushed watch is open at once; a polled one may still fail
+		return
 	}
 	for {
 		select {
@@ -173,7 +178,7 @@
 	}
 }
 
-// write writes a list. Where lists are polled, the gateway then counts as notified of it.
+// write writes a list. With polled discovery, the gateway counts as notified of the list from then on.
 func (w *watch) write(response http.ResponseWriter, list update) bool {
 	line, err := list.message.encode()
 	if err != nil {
@@ -187,10 +192,10 @@
 	return w.writeLine(response, line, list.full)
 }
 
-// slowListParts is the number of parts in which a slow list is written.
+// slowListParts is the number of parts in which a complete list is written while SlowLists is in force.
 const slowListParts = 10
 
-// writeLine writes a line, and a complete list over the time that SlowLists has set.
+// writeLine writes the line of a list. It spreads a complete list over the time that SlowLists has set.
 func (w *watch) writeLine(response http.ResponseWriter, line []byte, full bool) bool {
 	world := w.agent.world
 	var spread time.Duration
@@ -213,7 +218,7 @@
 	return true
 }
 
-// writeKeepAlive writes an empty line unless discovery is silent.
+// writeKeepAlive writes an empty line unless the watch is silent or discovery is down.
 func (w *watch) writeKeepAlive(response http.ResponseWriter) bool {
 	silent := false
 	w.agent.world.scheduler.Do(func() { silent = w.silent || w.agent.world.discoveryDown })
