--- a/internal/emulator/decider.go
+++ b/internal/emulator/decider.go
@@ -30,5 +30,5 @@
 	QuotaLeft(customer policy.CustomerID, plan int, age time.Duration) float64
 }
 
-// NewDecider creates the decider of one gateway. The decider carries its decisions out through actions.
+// NewDecider creates the decider of one gateway. The decider carries out its decisions by calling actions.
 type NewDecider func(cfg policy.Config, actions policy.Actions, groundTruth GroundTruth) Decider
--- a/internal/emulator/invariant/checker.go
+++ b/internal/emulator/invariant/checker.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// AnswerGrace is the time after its deadline in which a request may still get its final answer. Source:
-	// STANDING-springfield.md, "The whole fleet".
+	// AnswerGrace is the time after its deadline in which a request may still get its final answer. Source: STANDING,
+	// "The whole fleet".
 	AnswerGrace = 500 * time.Millisecond
-	// DisconnectGrace is the time after a client's disconnect in which an attempt may still start. Source:
-	// STANDING-springfield.md, "The whole fleet".
+	// DisconnectGrace is the time after a client's disconnect in which an attempt may still start. Source: STANDING,
+	// "The whole fleet".
 	DisconnectGrace = 100 * time.Millisecond
 	// SocketSlack is the slack for runs over sockets: the time by which each time limit is extended there. Source:
-	// PROTOCOL-springfield.md, "The rules on sockets".
+	// PROTOCOL, "The rules on sockets".
 	SocketSlack = 50 * time.Millisecond
 
 	// maxInformedShare is the maximum share of the overloading work that may come from gateways that were notified of
@@ -137,7 +137,7 @@
 	}
 }
 
-// gateway returns the state of a gateway and creates it if needed.
+// gateway returns the state of a gateway and creates it if there is none.
 func (c *Checker) gateway(index int) *gateway {
 	state := c.gateways[index]
 	if state == nil {
@@ -148,7 +148,7 @@
 }
 
 // handleGatewayStopped records the end of a gateway's process. It discards the notifications, because the next process
-// of the gateway does not know them.
+// of the gateway has not received them.
 func (c *Checker) handleGatewayStopped(o emulator.GatewayStopped) {
 	stopped := c.gateway(o.Gateway)
 	stopped.unavailable = nil
--- a/internal/emulator/invariant/endpoints.go
+++ b/internal/emulator/invariant/endpoints.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// ObserveLists wraps newDecider such that the checker learns the zones and cells of the endpoints from the lists that
+// ObserveLists wraps newDecider such that the checker takes the zones and cells of the endpoints from the lists that
 // the deciders receive.
 func (c *Checker) ObserveLists(newDecider emulator.NewDecider) emulator.NewDecider {
 	if !c.hasScopedKeys() {
--- a/internal/emulator/invariant/faulty_gateway_test.go
+++ b/internal/emulator/invariant/faulty_gateway_test.go
@@ -13,7 +13,7 @@
 )
 
 // observationMutator returns an observer that alters observations before it passes them to next. It simulates faults of
-// a gateway's network code, which a decider cannot cause in the virtual world.
+// a gateway's network code, which a decider on virtual time cannot cause.
 type observationMutator func(next emulator.Observer) emulator.Observer
 
 // seconds converts seconds to a duration of a scenario.
--- a/internal/emulator/invariant/report.go
+++ b/internal/emulator/invariant/report.go
@@ -14,36 +14,37 @@
 const (
 	// RuleFinalAnswer requires exactly one final answer to each request, at most AnswerGrace after its deadline, and no
 	// attempt after the answer. A served answer must be the one that an endpoint produced for the request. Requests of
-	// a killed gateway need no answer. Sources: WIRE-springfield.md, "No lost request"; PROTOCOL-springfield.md, "The
-	// rules on sockets"; STANDING-springfield.md.
+	// a killed gateway need no answer.
 	//
-	// The check is stricter than STANDING-springfield.md in one point: every connection that ends without a complete
-	// response is a violation, while the document tolerates it for one in 200 requests that were not yet forwarded.
+	// The check is stricter than the operators' rule in one point: every connection that ends without a complete
+	// response is a violation, while the operators tolerate it for one in 200 requests that were not yet forwarded.
+	//
+	// Source: WIRE, "No lost request"; PROTOCOL, "The rules on sockets"; STANDING.
 	RuleFinalAnswer Rule = "final-answer"
 	// RuleSingleExecution forbids a retry of a non-idempotent request that may have been executed. It also forbids such a
-	// retry of a request with an idempotency key outside of the key's scope or lifetime. Source: WIRE-springfield.md,
-	// "Each effect happens once".
+	// retry of a request with an idempotency key outside of the key's scope or lifetime. Source: WIRE, "Each effect
+	// happens once".
 	RuleSingleExecution Rule = "single-execution"
 	// RuleSafeRejection allows a rejection only if the request cannot have been executed, or if it is safe to repeat at
-	// any endpoint. Source: WIRE-springfield.md, "Each effect happens once".
+	// any endpoint. Source: WIRE, "Each effect happens once".
 	RuleSafeRejection Rule = "safe-rejection"
-	// RuleSingleAttempt allows one attempt of a request in flight at a time, unless hedging is allowed. Sources:
-	// WIRE-springfield.md, "Each effect happens once"; PROTOCOL-springfield.md, "Edge nodes to listing servers".
+	// RuleSingleAttempt allows one attempt of a request in flight at a time, unless hedging is allowed. Source: WIRE,
+	// "Each effect happens once"; PROTOCOL, "Edge nodes to listing servers".
 	RuleSingleAttempt Rule = "single-attempt"
 	// RuleDrain forbids attempts at an endpoint once the drain grace period has passed since the gateway counts as
-	// notified that the endpoint drains or was removed. Source: WIRE-springfield.md, "Orderly drain".
+	// notified that the endpoint drains or was removed. Source: WIRE, "Orderly drain".
 	RuleDrain Rule = "drain"
 	// RuleSlowStart forbids overloading an endpoint that warms up. An overload is a violation if more than two thirds of
-	// the work came from gateways that count as notified of the endpoint's start. Sources: STANDING-springfield.md,
-	// "The whole fleet"; WIRE-springfield.md, "Controlled fail-back".
+	// the work came from gateways that count as notified of the endpoint's start. Source: STANDING, "The whole fleet";
+	// WIRE, "Controlled fail-back".
 	RuleSlowStart Rule = "slow-start"
 	// RuleCeiling forbids that all gateways together forward more units of a customer's requests than its ceiling
-	// allows. A request is charged the units that it states, when its first attempt reaches an endpoint. Sources:
-	// WIRE-springfield.md, "No ceiling passed"; PROTOCOL-springfield.md, "The rules on sockets".
+	// allows. A request is charged the units that it states, when its first attempt reaches an endpoint. Source: WIRE,
+	// "No ceiling passed"; PROTOCOL, "The rules on sockets".
 	RuleCeiling Rule = "ceiling"
-	// RuleDisconnect forbids attempts that start more than DisconnectGrace after the client has disconnected. Source:
-	// STANDING-springfield.md, "The whole fleet". The check is stricter than the document, which tolerates two such
-	// attempts: every one is a violation.
+	// RuleDisconnect forbids attempts that start more than DisconnectGrace after the client has disconnected. The check
+	// is stricter than the operators' rule, which tolerates two such attempts: every one is a violation. Source:
+	// STANDING, "The whole fleet".
 	RuleDisconnect Rule = "disconnect"
 )
 
--- a/internal/emulator/invariant/request.go
+++ b/internal/emulator/invariant/request.go
@@ -16,8 +16,8 @@
 	status    policy.Status // valid once the attempt has ended
 }
 
-// possiblyExecuted reports whether the gateway must assume that the attempt was or will be executed. Source: the table
-// of outcomes in PROTOCOL-springfield.md, "Edge nodes to listing servers".
+// possiblyExecuted reports whether the gateway must assume that the attempt was or will be executed. Source: PROTOCOL,
+// "Edge nodes to listing servers", the table of outcomes.
 func (a *attempt) possiblyExecuted() bool {
 	if !a.ended {
 		return true
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -88,7 +88,7 @@
 	Period   Duration `toml:"period"` // length of a metering period; 0: no meter
 	DelayMin Duration `toml:"delay_min"`
 	DelayMax Duration `toml:"delay_max"`
-	Settled  bool     `toml:"settled"`   // requests carry estimated units, corrected by the first good response
+	Settled  bool     `toml:"settled"`   // requests state estimated units; the first good response corrects them
 	GuessErr float64  `toml:"guess_err"` // relative standard deviation of the estimated units
 }
 
